--- a/core/judge.cpp
+++ b/core/classify.cpp
@@ -1,4 +1,4 @@
-#include "judge.h"
+#include "classify.h"
 
 #include <algorithm>
 #include <charconv>
--- a/core/judge.h
+++ b/core/classify.h
@@ -3,8 +3,8 @@
 
 #include <variant>
 
-#include "sequence.h"
-#include "station.h"
+#include "parsed_request.h"
+#include "router_config.h"
 #include "tokens.h"
 
 namespace cressrill::core {
--- a/core/sequence.cpp
+++ b/core/parsed_request.cpp
@@ -1,4 +1,4 @@
-#include "sequence.h"
+#include "parsed_request.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/core/station.cpp
+++ b/core/router_config.cpp
@@ -1,4 +1,4 @@
-#include "station.h"
+#include "router_config.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/rig/day.h
+++ b/rig/day.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/station.h"
+#include "core/router_config.h"
 #include "fleet_file.h"
 #include "verdict.h"
 
--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/sequence.h"
+#include "core/parsed_request.h"
 
 namespace cressrill::rig {
 
--- a/router/fleet.h
+++ b/router/fleet.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/log.h"
-#include "core/station.h"
+#include "core/router_config.h"
 #include "core/worker_list.h"
 #include "http/client.h"
 #include "policy.h"
--- a/router/openai.h
+++ b/router/openai.h
@@ -1,7 +1,7 @@
 // OpenAI's API towards clients, and the wire of our engines (docs/design/engine-wire.md).
 #pragma once
 
-#include "core/judge.h"
+#include "core/classify.h"
 #include "protocol.h"
 
 namespace cressrill::router {
--- a/router/protocol.h
+++ b/router/protocol.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <variant>
 
-#include "core/sequence.h"
+#include "core/parsed_request.h"
 #include "http/server.h"
 #include "policy.h"
 
--- a/tests/attempt_begin_test.cpp
+++ b/tests/attempt_begin_test.cpp
@@ -1,7 +1,7 @@
 // What may have happened between the decision for an attempt and the moment at which its first byte would leave: the
 // connection came up late, and a drain was told, the client left, or the time to begin was over.
+#include "platform_fixture.h"
 #include "raw_server.h"
-#include "site.h"
 
 namespace cressrill::testing {
 
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -1,7 +1,7 @@
 // How connections of clients end: evicted at the bound, overdue, left by their client, stalled, told to end. Each case
 // forces its order by hand: RawClient steps between stretches of handed time.
+#include "platform_fixture.h"
 #include "raw_client.h"
-#include "site.h"
 
 namespace cressrill::testing {
 
--- a/tests/client_leaves_test.cpp
+++ b/tests/client_leaves_test.cpp
@@ -1,5 +1,5 @@
 // Clients that leave in the moment in which a worker's answer reaches the router: both are found by one look at the sockets.
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 #include "raw_client.h"
 
 namespace cressrill::testing {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -2,11 +2,11 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <fmt/format.h>
 
-#include "core/judge.h"
+#include "core/classify.h"
 #include "core/worker_list.h"
+#include "engine_fixture.h"
 #include "rig/engine.h"
 #include "router/engine_wire.h"
-#include "world.h"
 
 namespace cressrill::testing {
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,6 +1,6 @@
 // What discovery tells, in orders that can go wrong: lists in halves, agents that lag behind, versions that go back.
+#include "platform_fixture.h"
 #include "raw_server.h"
-#include "site.h"
 
 namespace cressrill::testing {
 
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -3,7 +3,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <chrono>
 
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 #include "raw_server.h"
 #include "rig/fault_plan.h"
 
--- a/tests/held_order_test.cpp
+++ b/tests/held_order_test.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 
 namespace cressrill::testing {
 
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -15,7 +15,7 @@
 // Evidence: records of workers in which each release was heard before the attempt's connection ended there, and none after;
 // records in which a prefill's end and the first release lie further apart than the limit, beside the router's trace of that
 // request, which says "maybe_held" throughout.
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 
 namespace cressrill::testing {
 
--- a/tests/hold_watch.h
+++ b/tests/kv_hold_monitor.h
@@ -1,7 +1,7 @@
 // For tests of what workers hold: how long it is held, and the settings and requests that such tests share.
 #pragma once
 
-#include "site.h"
+#include "platform_fixture.h"
 
 namespace cressrill::testing {
 
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -1,6 +1,6 @@
 // The whole path on loopback, each failure played through real sockets on handed time.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
-#include "world.h"
+#include "engine_fixture.h"
 
 namespace cressrill::testing {
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -7,8 +7,8 @@
 #include <fstream>
 
 #include "io/signals.h"
+#include "platform_fixture.h"
 #include "rig/process.h"
-#include "site.h"
 
 namespace cressrill::testing {
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,8 +1,8 @@
 // What only a process of its own can show: its start beside one that still ends, and a log that nobody can write.
-#include "program.h"
-
 #include <fcntl.h>
 
+#include "router_process.h"
+
 namespace cressrill::testing {
 
 TEST_CASE("the program: an address that is still taken is waited for, and then served") {
--- a/tests/release_test.cpp
+++ b/tests/release_test.cpp
@@ -1,5 +1,5 @@
 // Letting go of states at workers, where that crosses with further attempts of the same request.
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 #include "raw_server.h"
 
 namespace cressrill::testing {
--- a/tests/program.h
+++ b/tests/router_process.h
@@ -10,8 +10,8 @@
 #include <fstream>
 #include <functional>
 
+#include "platform_fixture.h"
 #include "rig/process.h"
-#include "site.h"
 
 namespace cressrill::testing {
 
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,5 +1,5 @@
 // The end of a process: what is still owed when it is told to end, and the orders in which that can cross with what comes.
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 #include "raw_server.h"
 
 namespace cressrill::testing {
--- a/tests/silent_link_test.cpp
+++ b/tests/silent_link_test.cpp
@@ -1,6 +1,6 @@
 // Held KV cache while links are silent: connections stay open, new ones are accepted, and nothing that is written arrives.
 // Whatever is out on such a link, what a read left behind has to be taken or released within the limit (issue 37).
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 
 namespace cressrill::testing {
 
--- a/tests/spoilt_answer_test.cpp
+++ b/tests/spoilt_answer_test.cpp
@@ -2,7 +2,7 @@
 // status, without an end), and the KV cache that it left was neither taken nor released within its limit.
 // Judged here: whatever the answer, what was left is gone within the limit and 300 ms, counted from the prefill's end at its
 // worker, and each client that stays gets one whole answer by its deadline.
-#include "hold_watch.h"
+#include "kv_hold_monitor.h"
 #include "raw_client.h"
 
 namespace cressrill::testing {
