--- a/benchmarks/decide.cpp
+++ b/benchmarks/decide.cpp
@@ -19,7 +19,7 @@
   Fleet(int live, int workers, int slo_s = 2) : policy_(make_policy(deployment(slo_s), 7, now_, *this)) {
     policy_->list_begins(now_, true);
     for (int w = 0; w < workers; ++w)
-      policy_->worker_listed(w, static_cast<std::uint64_t>(w) + 1, Standing::ready, 0, w % 2, 0, w / 8);
+      policy_->worker_listed(w, static_cast<std::uint64_t>(w) + 1, WorkerStatus::ready, 0, w % 2, 0, w / 8);
     policy_->list_ends();
     if (slo_s > 2) return;
     for (int i = 0; i < live; ++i) begin(i);
@@ -37,8 +37,8 @@
     const int seq = sent_order_.front();
     sent_order_.pop_front();
     now_ += kMs;
-    policy_->attempt_ended(now_, seq, 0, Outcome::read_done, 20 * kMs, false, 1000, {true, 3, 0.2});
-    policy_->stream_began(now_, seq, 1, 10 * kMs);
+    policy_->attempt_ended(now_, seq, 0, Outcome::prefill_done, 20 * kMs, false, 1000, {true, 3, 0.2});
+    policy_->stream_started(now_, seq, 1, 10 * kMs);
     policy_->attempt_ended(now_, seq, 1, Outcome::generated, 100 * kMs, true, 0, {});
   }
 
@@ -51,38 +51,38 @@
   void send(int seq, int worker, AttemptLimits) override {
     if (worker % 2 == 0) sent_order_.push_back(seq);
   }
-  void let_go(int) override {}
+  void release(int) override {}
   void cancel(int, int) override {}
   void reject(int, Nanos) override { ++rejected_; }
   void abort(int) override {}
   void subscribe() override {}
-  void wake(Nanos) override {}
-  void forget_sequence(int) override {}
+  void request_wakeup(Nanos) override {}
+  void forget_request(int) override {}
   void forget_worker(int) override {}
   int rejected() const { return rejected_; }
 
  private:
-  static Deployment deployment(int slo_s) {
-    Deployment d;
+  static PolicySettings deployment(int slo_s) {
+    PolicySettings d;
     d.types.push_back({Effect::repeatable, Group::all, 0, slo_s * 1000 * kMs, 40 * kMs, 1});
-    d.kinds = {{Role::reader, 0}, {Role::writer, 0}};
-    d.routers = 1, d.tick = 2 * kMs, d.attempts_cap = 6;
-    d.cancelling = d.second_copies = true;
-    d.pin_limit = 500 * kMs, d.cold_from = 0.25, d.ramp_time = 10'000 * kMs;
-    d.fall_multiple = 2.5, d.fall_span = 1'500 * kMs;
+    d.kinds = {{Role::prefill, 0}, {Role::decode, 0}};
+    d.routers = 1, d.tick = 2 * kMs, d.max_attempts = 6;
+    d.can_cancel = d.allow_parallel_attempts = true;
+    d.kv_hold_limit = 500 * kMs, d.cold_start_capacity = 0.25, d.ramp_time = 10'000 * kMs;
+    d.overload_factor = 2.5, d.overload_window = 1'500 * kMs;
     return d;
   }
   void come(int seq) {
     now_ += kMs / 10;
     const auto session = static_cast<std::uint64_t>(seq % 997 + 1);
-    policy_->sequence_came(now_, seq, 0, 0, session, session % 13 + 1, 2000, 1000, 200,
-                           now_ + 6'000'000 * kMs);
+    policy_->request_arrived(now_, seq, 0, 0, session, session % 13 + 1, 2000, 1000, 200,
+                             now_ + 6'000'000 * kMs);
   }
   void begin(int seq) {
     now_ += kMs;
     come(seq);
-    policy_->attempt_ended(now_, seq, 0, Outcome::read_done, 20 * kMs, false, 1000, {true, 3, 0.2});
-    policy_->stream_began(now_, seq, 1, 10 * kMs);
+    policy_->attempt_ended(now_, seq, 0, Outcome::prefill_done, 20 * kMs, false, 1000, {true, 3, 0.2});
+    policy_->stream_started(now_, seq, 1, 10 * kMs);
   }
 
   Nanos now_{1000 * kMs};
--- a/core/classify.h
+++ b/core/classify.h
@@ -9,17 +9,19 @@
 
 namespace cressrill::core {
 
-struct Judged {
+struct ClassifiedRequest {
   int type{};
-  int tenant{};        // past the last one: none is declared, all traffic is in its share
-  double prompt{};     // tokens
-  double beginning{};  // tokens
-  double max_out{};    // tokens
-  Nanos abandon_in{};
+  int tenant{};                // past the last one: none is declared, all traffic is in its share
+  double prompt_tokens{};      // tokens
+  double prefix_tokens{};      // tokens
+  double max_output_tokens{};  // tokens
+  Nanos time_limit{};
 };
 
 // path without its query; fields of the request. Header 'x-abandon-after-ms' shortens the abandon time.
-std::variant<Judged, Refused> judge(const Station& station, const TokenEstimate& estimate, const Facts& facts,
-                                    std::string_view path, Fields fields);
+std::variant<ClassifiedRequest, RequestError> classify(const RouterConfig& station,
+                                                       const TokenEstimator& estimate,
+                                                       const ParsedRequest& facts, std::string_view path,
+                                                       HeaderFields fields);
 
 }  // namespace cressrill::core
--- a/core/counters.h
+++ b/core/counters.h
@@ -36,50 +36,50 @@
 
  public:
   // Texts must outlive this.
-  void answered(std::string_view type, std::string_view answer) {
+  void count_answer(std::string_view type, std::string_view answer) {
     found(answered_, type, answer, [&]() -> prometheus::Counter& {
       return answers_.Add({{"type", std::string(type)}, {"answer", std::string(answer)}});
     }).Increment();
   }
-  void attempt(std::string_view stage, std::string_view outcome) {
+  void count_attempt(std::string_view stage, std::string_view outcome) {
     found(attempted_, stage, outcome, [&]() -> prometheus::Counter& {
       return attempts_.Add({{"stage", std::string(stage)}, {"outcome", std::string(outcome)}});
     }).Increment();
   }
-  void refused(int status) { refused_.Add({{"status", std::to_string(status)}}).Increment(); }
-  void first_token(std::string_view type, double seconds) {
+  void count_refusal(int status) { refused_.Add({{"status", std::to_string(status)}}).Increment(); }
+  void observe_first_token(std::string_view type, double seconds) {
     found(first_, type, {}, [&]() -> prometheus::Histogram& {
       return first_token_.Add({{"type", std::string(type)}}, prometheus::Histogram::BucketBoundaries{
                                                                  0.05, 0.1, 0.2, 0.5, 1, 1.5, 2, 3, 5, 10});
     }).Observe(seconds);
   }
-  void invariant_violated(std::string_view invariant) {
+  void count_invariant_violation(std::string_view invariant) {
     found(violated_, invariant, {}, [&]() -> prometheus::Counter& {
       return violations_.Add({{"invariant", std::string(invariant)}});
     }).Increment();
   }
   // Failures that were survived and are no peer's. call: of the kernel; error: its errno.
-  void call_failed(std::string_view call, int error) {
+  void count_call_failure(std::string_view call, int error) {
     call_failures_.Add({{"call", std::string(call)}, {"errno", std::to_string(error)}}).Increment();
   }
-  void task_failed() { task_failures_.Add({}).Increment(); }
+  void count_task_failure() { task_failures_.Add({}).Increment(); }
   // An attempt that was not begun as its first byte was about to leave.
-  void not_begun(std::string_view reason) {
+  void count_attempt_not_started(std::string_view reason) {
     found(not_begun_, reason, {}, [&]() -> prometheus::Counter& {
       return begin_refusals_.Add({{"reason", std::string(reason)}});
     }).Increment();
   }
   // A client's connection that this side ended.
-  void connection_ended(std::string_view reason) {
+  void count_connection_end(std::string_view reason) {
     found(ended_, reason, {}, [&]() -> prometheus::Counter& {
       return connection_ends_.Add({{"reason", std::string(reason)}});
     }).Increment();
   }
-  void live(std::size_t sequences) { live_now_.Set(static_cast<double>(sequences)); }
-  void release_asked() { releases_asked_.Increment(); }
-  void release_confirmed() { releases_confirmed_.Increment(); }
-  void release_given_up() { releases_given_up_.Increment(); }
-  std::string text() const { return prometheus::TextSerializer().Serialize(registry_.Collect()); }
+  void set_active_requests(std::size_t sequences) { live_now_.Set(static_cast<double>(sequences)); }
+  void count_release_requested() { releases_asked_.Increment(); }
+  void count_release_confirmed() { releases_confirmed_.Increment(); }
+  void count_release_abandoned() { releases_given_up_.Increment(); }
+  std::string serialize() const { return prometheus::TextSerializer().Serialize(registry_.Collect()); }
 
  private:
   prometheus::Registry registry_;
--- a/core/invariants.h
+++ b/core/invariants.h
@@ -26,8 +26,8 @@
   kv_transition,        // what is held changes only in ways that the table of KvHold knows
   kv_has_owner,         // no request is forgotten while KV cache may be held for it that nobody will release
 };
-constexpr std::size_t kInvariants = 10;
-constexpr std::array<const char*, kInvariants> kInvariantNames{
+constexpr std::size_t kInvariantCount = 10;
+constexpr std::array<const char*, kInvariantCount> kInvariantNames{
     "one_final_answer",      "answer_in_time",   "read_is_answered",       "client_is_there",
     "worker_takes_requests", "repeat_in_window", "deadline_within_budget", "kv_released_in_time",
     "kv_transition",         "kv_has_owner"};
@@ -41,7 +41,7 @@
     if (holds) return;
     const auto index = static_cast<std::size_t>(invariant);
     ++violations_[index];
-    counters_.invariant_violated(kInvariantNames[index]);
+    counters_.count_invariant_violation(kInvariantNames[index]);
     log_.error("invariant violated",
                {{"invariant", kInvariantNames[index]}, {"sequence", request}, {"by_ms", by_ms}});
   }
@@ -57,7 +57,7 @@
  private:
   Log& log_;
   Counters& counters_;
-  std::array<std::uint64_t, kInvariants> violations_{};
+  std::array<std::uint64_t, kInvariantCount> violations_{};
 };
 
 }  // namespace cressrill::core
--- a/core/log_sink.h
+++ b/core/log_sink.h
@@ -25,7 +25,7 @@
     const bool known = ::fstat(descriptor, &facts) == 0;
     may_block_ = !known || !S_ISREG(facts.st_mode);
   }
-  std::uint64_t lost() const { return lost_; }
+  std::uint64_t lost_lines() const { return lost_; }
 
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override {
--- a/core/parsed_request.cpp
+++ b/core/parsed_request.cpp
@@ -12,7 +12,7 @@
 
 namespace od = simdjson::ondemand;
 
-std::optional<std::string_view> field(Fields fields, std::string_view name) {
+std::optional<std::string_view> find_header(HeaderFields fields, std::string_view name) {
   for (const auto& [key, value] : fields)
     if (key == name) return value;
   return std::nullopt;
@@ -27,7 +27,7 @@
   return nlohmann::json{{"error", error}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-std::string Refused::body() const { return error_body(status, message, code, param); }
+std::string RequestError::body() const { return error_body(status, message, code, param); }
 
 namespace {
 
@@ -63,9 +63,9 @@
 [[noreturn]] void not_json() { bad("", "The body is not valid JSON.", "invalid_json"); }
 
 void must_be_formed(od::value value, int depth) {
-  const Formed f = formed(value, depth);
-  if (f == Formed::too_deep) bad("", "The body is nested too deeply.", "invalid_json");
-  if (f == Formed::badly) not_json();
+  const JsonValidity f = validate_json(value, depth);
+  if (f == JsonValidity::too_deep) bad("", "The body is nested too deeply.", "invalid_json");
+  if (f == JsonValidity::invalid) not_json();
 }
 
 // What is read again and again on one thread, with its room kept from one request to the next.
@@ -110,7 +110,7 @@
 }
 
 // The hash of what the system messages at the front say: what many sessions begin with.
-std::uint64_t read_messages(od::value value, Facts& to, Scratch& scratch) {
+std::uint64_t read_messages(od::value value, ParsedRequest& to, Scratch& scratch) {
   od::array list;
   if (value.get_array().get(list) != simdjson::SUCCESS)
     bad("messages", "'messages' must be a list of messages.");
@@ -137,20 +137,20 @@
     if (role.empty()) bad("messages", "Each of 'messages' must have a role.");
     in_front = in_front && (role == "system" || role == "developer");
     if (in_front) {
-      to.beginning_bytes += bytes;
+      to.prefix_bytes += bytes;
       for (const std::string_view text : scratch.texts) {
         XXH3_64bits_update(&leading, text.data(), text.size());
         XXH3_64bits_update(&leading, "", 1);  // where one text ends and the next begins
       }
     }
     to.prompt_bytes += bytes;
-    ++to.messages;
+    ++to.message_count;
   }
-  if (to.messages == 0) bad("messages", "'messages' is empty.");
+  if (to.message_count == 0) bad("messages", "'messages' is empty.");
   return XXH3_64bits_digest(&leading);
 }
 
-void read_prompt(od::value prompt, Facts& to) {
+void read_prompt(od::value prompt, ParsedRequest& to) {
   od::json_type type{};
   if (prompt.type().get(type) != simdjson::SUCCESS) bad("prompt", "'prompt' cannot be read.");
   if (type == od::json_type::string) {
@@ -187,7 +187,7 @@
   return true;
 }
 
-void read_stream_options(od::value value, Facts& to) {
+void read_stream_options(od::value value, ParsedRequest& to) {
   for (auto member : must(value.get_object(), "stream_options", "an object")) {
     od::field f = must(std::move(member), "stream_options", "well formed");
     if (must(f.unescaped_key(), "stream_options", "well formed") == "include_usage")
@@ -198,21 +198,21 @@
 }
 
 // A member goes on as it came; beside the one before it, both are one part.
-void pass_on(Facts& to, std::string_view member) {
+void pass_on(ParsedRequest& to, std::string_view member) {
   const auto at = static_cast<std::size_t>(member.data() - to.body.data());
-  if (!to.passed_on.empty()) {
-    Span& last = to.passed_on.back();
+  if (!to.forwarded_members.empty()) {
+    TextRange& last = to.forwarded_members.back();
     const std::string_view between =
-        std::string_view(to.body).substr(last.at + last.size, at - last.at - last.size);
+        std::string_view(to.body).substr(last.offset + last.size, at - last.offset - last.size);
     if (between.find_first_not_of(" \t\r\n,") == std::string_view::npos) {
-      last.size = at + member.size() - last.at;
+      last.size = at + member.size() - last.offset;
       return;
     }
   }
-  to.passed_on.push_back({at, member.size()});
+  to.forwarded_members.push_back({at, member.size()});
 }
 
-void read(Facts& to, Fields fields, Scratch& scratch) {
+void read(ParsedRequest& to, HeaderFields fields, Scratch& scratch) {
   const Api api = to.api;
   to.body.reserve(to.body.size() + simdjson::SIMDJSON_PADDING);
   scratch.keys.clear();
@@ -240,7 +240,7 @@
       if (!left_out(value)) read_stream_options(value, to);
     } else if (key == "max_tokens" || key == "max_completion_tokens") {
       if (!left_out(value))
-        to.max_out = count_of(value, key == "max_tokens" ? "max_tokens" : "max_completion_tokens");
+        to.max_output_tokens = count_of(value, key == "max_tokens" ? "max_tokens" : "max_completion_tokens");
     } else if (key == "kv_transfer_params") {
       bad("kv_transfer_params", "'kv_transfer_params' is the router's own.", "unsupported_value");
     } else if (key == "n" || key == "best_of") {
@@ -267,28 +267,28 @@
   if (const auto twice = std::ranges::adjacent_find(scratch.keys); twice != scratch.keys.end())
     bad(std::string(*twice), "'" + std::string(*twice) + "' is told twice.", "duplicate_member");
   if (to.model.empty()) bad("model", "'model' is missing.", "missing_value");
-  if (api == Api::chat && to.messages == 0) bad("messages", "'messages' is missing.", "missing_value");
+  if (api == Api::chat && to.message_count == 0) bad("messages", "'messages' is missing.", "missing_value");
   if (api == Api::completion && !prompted) bad("prompt", "'prompt' is missing.", "missing_value");
-  if (to.beginning_bytes > 0) to.beginning = std::max<std::uint64_t>(1, leading ^ hash(to.model));
-  if (!cache_key) cache_key = field(fields, "x-session-id");
-  if (cache_key && !cache_key->empty()) to.session = hash(*cache_key, hash(to.model, 1));
+  if (to.prefix_bytes > 0) to.prefix_hash = std::max<std::uint64_t>(1, leading ^ hash(to.model));
+  if (!cache_key) cache_key = find_header(fields, "x-session-id");
+  if (cache_key && !cache_key->empty()) to.session_hash = hash(*cache_key, hash(to.model, 1));
 }
 
 }  // namespace
 
-std::variant<Facts, Refused> read_sequence(Api api, std::string body, Fields fields) {
+std::variant<ParsedRequest, RequestError> parse_request(Api api, std::string body, HeaderFields fields) {
   static thread_local Scratch scratch;
   if (scratch.parser.capacity() > kScratch) scratch.parser = od::parser();
-  Facts facts;
+  ParsedRequest facts;
   facts.api = api, facts.body = std::move(body);
   try {
     read(facts, fields, scratch);
-    return std::variant<Facts, Refused>(std::move(facts));
+    return std::variant<ParsedRequest, RequestError>(std::move(facts));
   } catch (const Bad& b) {
     // A text that is not JSON is told of as such, wherever the reading stumbled over it.
     if (b.code != "invalid_json" && !nlohmann::json::accept(facts.body))
-      return Refused{400, "invalid_json", "", "The body is not valid JSON."};
-    return Refused{400, b.code, b.param, b.message};
+      return RequestError{400, "invalid_json", "", "The body is not valid JSON."};
+    return RequestError{400, b.code, b.param, b.message};
   }
 }
 
@@ -301,11 +301,11 @@
 
 namespace {
 
-void fill(const Facts& facts, EngineBody& to) {
+void fill(const ParsedRequest& facts, EngineBody& to) {
   to.parts.clear();
   to.parts.push_back("{");
-  for (const Span& s : facts.passed_on) {
-    to.parts.push_back(std::string_view(facts.body).substr(s.at, s.size));
+  for (const TextRange& s : facts.forwarded_members) {
+    to.parts.push_back(std::string_view(facts.body).substr(s.offset, s.size));
     to.parts.push_back(",");
   }
   to.parts.push_back(to.tail);
@@ -315,16 +315,17 @@
 
 }  // namespace
 
-void read_body(const Facts& facts, EngineBody& to) {
+void build_prefill_body(const ParsedRequest& facts, EngineBody& to) {
   to.tail =
       R"("max_tokens":1,"stream":false,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false,)"
       R"("remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}})";
   fill(facts, to);
 }
 
-void write_body(const Facts& facts, std::string_view state, EngineBody& to) {
+void build_decode_body(const ParsedRequest& facts, std::string_view state, EngineBody& to) {
   to.tail.clear();
-  if (facts.max_out) to.tail.append("\"max_tokens\":").append(std::to_string(*facts.max_out)).append(",");
+  if (facts.max_output_tokens)
+    to.tail.append("\"max_tokens\":").append(std::to_string(*facts.max_output_tokens)).append(",");
   to.tail += R"("stream":true,"stream_options":{"include_usage":true})";
   if (!state.empty()) to.tail.append(R"(,"kv_transfer_params":)").append(state);
   to.tail += "}";
--- a/core/parsed_request.h
+++ b/core/parsed_request.h
@@ -16,33 +16,34 @@
 
 enum class Api { chat, completion };
 
-using Fields = std::span<const std::pair<std::string_view, std::string_view>>;  // names in lower case
-std::optional<std::string_view> field(Fields fields, std::string_view name);
+using HeaderFields = std::span<const std::pair<std::string_view, std::string_view>>;  // names in lower case
+std::optional<std::string_view> find_header(HeaderFields fields, std::string_view name);
 
 // A part of a text.
-struct Span {
-  std::size_t at{};
+struct TextRange {
+  std::size_t offset{};
   std::size_t size{};
 };
 
-struct Facts {
+struct ParsedRequest {
   Api api{};
   std::string model;
-  std::string body;             // as it came
-  std::vector<Span> passed_on;  // its members that go to the engines as they came, "name":value,...
-  std::uint64_t session{};      // 0: none
-  std::uint64_t beginning{};    // 0: none
+  std::string body;  // as it came
+  std::vector<TextRange>
+      forwarded_members;         // its members that go to the engines as they came, "name":value,...
+  std::uint64_t session_hash{};  // 0: none
+  std::uint64_t prefix_hash{};   // 0: none
   std::size_t prompt_bytes{};
-  std::size_t beginning_bytes{};
-  std::size_t messages{};
+  std::size_t prefix_bytes{};
+  std::size_t message_count{};
   std::optional<std::size_t> prompt_tokens;  // exact, where the prompt came as token ids
-  std::optional<std::size_t> max_out;
+  std::optional<std::size_t> max_output_tokens;
   bool stream{};
   bool include_usage{};
 };
 
 // An answer of the 4xx kind, in the published form of an error.
-struct Refused {
+struct RequestError {
   int status{};
   std::string code;
   std::string param;
@@ -55,7 +56,7 @@
                        std::string_view param = "");
 
 // body is kept in the facts; with room for simdjson::SIMDJSON_PADDING more bytes it is not copied.
-std::variant<Facts, Refused> read_sequence(Api api, std::string body, Fields fields);
+std::variant<ParsedRequest, RequestError> parse_request(Api api, std::string body, HeaderFields fields);
 
 // The body that an engine gets (docs/design/engine-wire.md): texts to be sent one after the other, views into the
 // facts and into tail. state: kv_transfer_params as the reader named it.
@@ -65,7 +66,7 @@
   std::size_t bytes{};
   std::string text() const;
 };
-void read_body(const Facts& facts, EngineBody& to);
-void write_body(const Facts& facts, std::string_view state, EngineBody& to);
+void build_prefill_body(const ParsedRequest& facts, EngineBody& to);
+void build_decode_body(const ParsedRequest& facts, std::string_view state, EngineBody& to);
 
 }  // namespace cressrill::core
--- a/core/tokens.h
+++ b/core/tokens.h
@@ -9,11 +9,11 @@
 
 // For each model two decayed sums: tokens counted and bytes sent. Until answers tell, four bytes are a token and
 // each message costs four tokens more.
-class TokenEstimate {
+class TokenEstimator {
  public:
-  double tokens(const std::string& model, std::size_t bytes, std::size_t messages) const;
+  double estimate(const std::string& model, std::size_t bytes, std::size_t messages) const;
   void learn(const std::string& model, std::size_t bytes, std::size_t messages, double counted);
-  double per_byte(const std::string& model) const;
+  double tokens_per_byte(const std::string& model) const;
 
  private:
   struct Sums {
--- a/core/well_formed.cpp
+++ b/core/well_formed.cpp
@@ -38,51 +38,51 @@
 
 }  // namespace
 
-Formed formed(od::value value, int depth) {
-  if (depth > kDepth) return Formed::too_deep;
+JsonValidity validate_json(od::value value, int depth) {
+  if (depth > kMaxJsonDepth) return JsonValidity::too_deep;
   od::json_type type{};
-  if (value.type().get(type)) return Formed::badly;
+  if (value.type().get(type)) return JsonValidity::invalid;
   switch (type) {
     case od::json_type::object: {
       od::object object;
-      if (value.get_object().get(object)) return Formed::badly;
+      if (value.get_object().get(object)) return JsonValidity::invalid;
       for (auto member : object) {
         std::string_view key;
         od::value inner;
-        if (member.unescaped_key().get(key) || member.value().get(inner)) return Formed::badly;
-        if (const Formed f = formed(inner, depth + 1); f != Formed::well) return f;
+        if (member.unescaped_key().get(key) || member.value().get(inner)) return JsonValidity::invalid;
+        if (const JsonValidity f = validate_json(inner, depth + 1); f != JsonValidity::valid) return f;
       }
-      return Formed::well;
+      return JsonValidity::valid;
     }
     case od::json_type::array: {
       od::array array;
-      if (value.get_array().get(array)) return Formed::badly;
+      if (value.get_array().get(array)) return JsonValidity::invalid;
       for (auto item : array) {
         od::value inner;
-        if (item.get(inner)) return Formed::badly;
-        if (const Formed f = formed(inner, depth + 1); f != Formed::well) return f;
+        if (item.get(inner)) return JsonValidity::invalid;
+        if (const JsonValidity f = validate_json(inner, depth + 1); f != JsonValidity::valid) return f;
       }
-      return Formed::well;
+      return JsonValidity::valid;
     }
     case od::json_type::string: {
       std::string_view text;
-      return value.get_string().get(text) ? Formed::badly : Formed::well;
+      return value.get_string().get(text) ? JsonValidity::invalid : JsonValidity::valid;
     }
     case od::json_type::boolean: {
       bool truth = false;
-      return value.get_bool().get(truth) ? Formed::badly : Formed::well;
+      return value.get_bool().get(truth) ? JsonValidity::invalid : JsonValidity::valid;
     }
     case od::json_type::null: {
       bool null = false;
-      return value.is_null().get(null) || !null ? Formed::badly : Formed::well;
+      return value.is_null().get(null) || !null ? JsonValidity::invalid : JsonValidity::valid;
     }
     case od::json_type::number: {
-      if (!is_number(trimmed(value.raw_json_token()))) return Formed::badly;
+      if (!is_number(trimmed(value.raw_json_token()))) return JsonValidity::invalid;
       double number = 0;
-      return value.get_double().get(number) ? Formed::badly : Formed::well;
+      return value.get_double().get(number) ? JsonValidity::invalid : JsonValidity::valid;
     }
   }
-  return Formed::badly;
+  return JsonValidity::invalid;
 }
 
 std::string_view text_since(const char* begins, od::document& document) {
--- a/core/well_formed.h
+++ b/core/well_formed.h
@@ -9,11 +9,11 @@
 namespace cressrill::core {
 
 // What nests deeper is refused: whoever reads it after us may do so by recursion.
-constexpr int kDepth = 64;
+constexpr int kMaxJsonDepth = 64;
 
 // A number that no double holds counts as badly formed.
-enum class Formed { well, badly, too_deep };
-Formed formed(simdjson::ondemand::value value, int depth = 1);
+enum class JsonValidity { valid, invalid, too_deep };
+JsonValidity validate_json(simdjson::ondemand::value value, int depth = 1);
 
 // The text from a place in the document to the end of the value that was read just now.
 std::string_view text_since(const char* begins, simdjson::ondemand::document& document);
--- a/core/worker_list.cpp
+++ b/core/worker_list.cpp
@@ -7,20 +7,20 @@
 
 using nlohmann::json;
 
-const char* word(Standing standing) {
+const char* to_string(WorkerStatus standing) {
   static constexpr const char* words[] = {"gone", "ready", "draining"};
   return words[static_cast<int>(standing)];
 }
 
 namespace {
-Standing standing_of(const std::string& text) {
-  for (const Standing s : {Standing::gone, Standing::ready, Standing::draining})
-    if (text == word(s)) return s;
+WorkerStatus standing_of(const std::string& text) {
+  for (const WorkerStatus s : {WorkerStatus::gone, WorkerStatus::ready, WorkerStatus::draining})
+    if (text == to_string(s)) return s;
   throw std::invalid_argument("state '" + text + "' is not one of gone, ready, draining");
 }
 }  // namespace
 
-WorkerList read_worker_list(std::string_view text) {
+WorkerList parse_worker_list(std::string_view text) {
   std::string where = "worker list";
   try {
     const json all = json::parse(text);
@@ -34,8 +34,8 @@
       ListedWorker to;
       w.at("name").get_to(to.name);
       w.at("address").get_to(to.address);
-      to.standing = standing_of(w.at("state").get<std::string>());
-      to.started = w.value("started_unix_ms", std::int64_t{0}) * 1'000'000;
+      to.status = standing_of(w.at("state").get<std::string>());
+      to.started_at = w.value("started_unix_ms", std::int64_t{0}) * 1'000'000;
       w.at("kind").get_to(to.kind);
       w.at("zone").get_to(to.zone);
       w.at("cell").get_to(to.cell);
@@ -49,13 +49,13 @@
   }
 }
 
-std::string worker_list_text(const WorkerList& list) {
+std::string serialize_worker_list(const WorkerList& list) {
   json out{{"version", list.version}, {"complete", list.complete}, {"workers", json::array()}};
   for (const ListedWorker& w : list.workers)
     out["workers"].push_back({{"name", w.name},
                               {"address", w.address},
-                              {"state", word(w.standing)},
-                              {"started_unix_ms", w.started / 1'000'000},
+                              {"state", to_string(w.status)},
+                              {"started_unix_ms", w.started_at / 1'000'000},
                               {"kind", w.kind},
                               {"zone", w.zone},
                               {"cell", w.cell}});
--- a/core/worker_list.h
+++ b/core/worker_list.h
@@ -13,8 +13,8 @@
 struct ListedWorker {
   std::string name;
   std::string address;
-  Standing standing{};
-  std::int64_t started{};  // nanoseconds since 1970; 0: long ago
+  WorkerStatus status{};
+  std::int64_t started_at{};  // nanoseconds since 1970; 0: long ago
   std::string kind;
   std::string zone;
   std::string cell;
@@ -30,8 +30,8 @@
 };
 
 // Throws std::invalid_argument with what is wrong and where.
-WorkerList read_worker_list(std::string_view text);
-std::string worker_list_text(const WorkerList& list);
-const char* word(Standing standing);
+WorkerList parse_worker_list(std::string_view text);
+std::string serialize_worker_list(const WorkerList& list);
+const char* to_string(WorkerStatus standing);
 
 }  // namespace cressrill::core
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -61,8 +61,8 @@
 }
 
 void Pool::use_begun(Priority priority) {
-  count_.use_begun(priority);
-  if (bounds_.budget) bounds_.budget->count_.use_begun(priority);
+  count_.use_started(priority);
+  if (bounds_.budget) bounds_.budget->count_.use_started(priority);
 }
 
 void Pool::use_ended(Priority priority) {
@@ -75,9 +75,9 @@
   closed();
 }
 
-void Pool::drop(std::unique_ptr<Connection> connection) {
+void Pool::discard(std::unique_ptr<Connection> connection) {
   release_ended(*connection);
-  const bool yielded = connection->yielded;
+  const bool yielded = connection->preempted;
   const Priority priority = connection->priority;
   connection.reset();
   if (!yielded) dropped(priority);
@@ -96,7 +96,7 @@
 // Whoever waits on it sees it closed, and its room is free at once.
 void Pool::yield(Connection& connection) {
   release_ended(connection);
-  connection.yielded = true;
+  connection.preempted = true;
   connection.socket.close();
   dropped(connection.priority);
 }
@@ -106,17 +106,18 @@
   closed();
 }
 
-void Pool::note(const Connection& connection, bool answered) {
-  if (!bounds_.budget || !connection.used_before || connection.yielded) return;
+void Pool::record_use(const Connection& connection, bool answered) {
+  if (!bounds_.budget || !connection.reused || connection.preempted) return;
   IdleReuseTracker& reuse = bounds_.budget->idle_reuse_;
-  answered ? reuse.answered(connection.stood, loop_.now()) : reuse.broke(connection.stood, loop_.now());
+  answered ? reuse.record_response(connection.idle_time, loop_.now())
+           : reuse.record_loss(connection.idle_time, loop_.now());
 }
 
-void Pool::drop_kept() {
+void Pool::close_idle() {
   while (!kept_.empty()) drop_oldest_kept();
 }
 
-io::Task<std::unique_ptr<Connection>> Pool::take(bool& crowded, Reuse reuse, Priority priority) {
+io::Task<std::unique_ptr<Connection>> Pool::acquire(bool& crowded, Reuse reuse, Priority priority) {
   const io::Nanos until = loop_.now() + bounds_.dial_timeout;
   for (;;) {
     io::Nanos rested = until;  // when the next of those that rest may be used
@@ -139,17 +140,17 @@
 std::unique_ptr<Connection> Pool::take_kept(Priority priority, io::Nanos& rested) {
   for (std::size_t i = kept_.size(); i-- > 0;) {
     const io::Nanos stood = loop_.now() - kept_[i].since;
-    if (stood < bounds_.rest) {
-      rested = std::min(rested, kept_[i].since + bounds_.rest);
+    if (stood < bounds_.min_idle_before_reuse) {
+      rested = std::min(rested, kept_[i].since + bounds_.min_idle_before_reuse);
       continue;
     }
     if (!worth_using(stood)) continue;
     auto connection = std::move(kept_[i].connection);
-    connection->stood = stood;
+    connection->idle_time = stood;
     kept_.erase(kept_.begin() + static_cast<std::ptrdiff_t>(i));
     // The peer may have closed it meanwhile: seen here, nothing was sent and nothing can have run.
-    if (!connection->socket.spoiled()) {
-      connection->used_before = true;
+    if (!connection->socket.is_stale()) {
+      connection->reused = true;
       connection->priority = priority;
       use_begun(priority);
       release_begun(*connection);
@@ -186,24 +187,26 @@
   auto connection = std::make_unique<Connection>();
   connection->priority = priority;
   for (;;) {
-    const auto moved = co_await io::within(loop_, until, io::connect(loop_, peer_, connection->socket));
+    const auto moved =
+        co_await io::with_deadline(loop_, until, io::connect(loop_, peer_, connection->socket));
     if (moved && moved->ok()) break;
     // What this machine lacks just now is no fault of the peer, and may be there again in time.
-    crowded = moved && io::classify(io::Call::connect, moved->error) == io::Failure::local_lack;
-    if (!crowded || loop_.now() + io::kLackPause >= until) co_return nullptr;
-    co_await loop_.sleep_for(io::kLackPause);
+    crowded = moved &&
+              io::classify_error(io::SystemCall::connect, moved->error) == io::ErrorClass::resource_shortage;
+    if (!crowded || loop_.now() + io::kResourceRetryDelay >= until) co_return nullptr;
+    co_await loop_.sleep_for(io::kResourceRetryDelay);
   }
   crowded = false;
   counted.pool = nullptr;
-  connection->reader = std::make_unique<Reader>(connection->socket, Kind::response);
+  connection->reader = std::make_unique<MessageReader>(connection->socket, MessageKind::response);
   release_begun(*connection);
   co_return connection;
 }
 
-bool Pool::has_rested() const {
+bool Pool::has_reusable() const {
   return std::ranges::any_of(kept_, [this](const Kept& kept) {
     const io::Nanos stood = loop_.now() - kept.since;
-    return stood >= bounds_.rest && worth_using(stood);
+    return stood >= bounds_.min_idle_before_reuse && worth_using(stood);
   });
 }
 
@@ -211,11 +214,12 @@
   return !bounds_.budget || bounds_.budget->idle_reuse_.worth_using(stood, loop_.now());
 }
 
-void Pool::give_back(std::unique_ptr<Connection> connection) {
-  if (connection->yielded) return drop(std::move(connection));
+void Pool::return_connection(std::unique_ptr<Connection> connection) {
+  if (connection->preempted) return discard(std::move(connection));
   release_ended(*connection);
   use_ended(connection->priority);
-  if (kept_.size() >= bounds_.kept || connection->reader->leftover() || !connection->socket.is_open()) {
+  if (kept_.size() >= bounds_.max_idle || connection->reader->has_leftover() ||
+      !connection->socket.is_open()) {
     connection.reset();
     closed();
     return;
@@ -230,37 +234,37 @@
 
 io::Task<> Pool::sweep() {
   while (!kept_.empty()) {
-    co_await loop_.sleep_until(kept_.front().since + bounds_.idle_for);
-    while (!kept_.empty() && kept_.front().since + bounds_.idle_for <= loop_.now()) {
+    co_await loop_.sleep_until(kept_.front().since + bounds_.idle_timeout);
+    while (!kept_.empty() && kept_.front().since + bounds_.idle_timeout <= loop_.now()) {
       drop_oldest_kept();
     }
   }
   sweeping_ = false;
 }
 
-io::Task<Exchange> exchange(std::shared_ptr<Pool> pool, std::string text, std::function<bool()> still_wanted,
-                            Reuse reuse, Priority priority) {
-  Exchange out;
-  Lease lease(std::move(pool), reuse, priority);
-  out.connected = co_await lease.take();
-  out.crowded = lease.crowded();
+io::Task<ExchangeResult> exchange(std::shared_ptr<Pool> pool, std::string text,
+                                  std::function<bool()> still_wanted, Reuse reuse, Priority priority) {
+  ExchangeResult out;
+  ConnectionLease lease(std::move(pool), reuse, priority);
+  out.connected = co_await lease.acquire();
+  out.at_capacity = lease.at_capacity();
   if (!out.connected) co_return out;
   if (still_wanted && !still_wanted()) {
-    lease.keep();
-    out.fault = Fault::closed;
+    lease.return_to_pool();
+    out.error = MessageError::closed;
     co_return out;
   }
-  const io::Moved moved = co_await lease->socket.write_all(text);
+  const io::IoResult moved = co_await lease->socket.write_all(text);
   out.sent = moved.bytes > 0;
   if (!moved.ok()) {
-    if (out.sent) lease.lost();
-    out.fault = Fault::closed;
+    if (out.sent) lease.record_loss();
+    out.error = MessageError::closed;
     co_return out;
   }
-  out.fault = co_await lease->reader->head(out.head);
-  out.fault == Fault::closed ? lease.lost() : lease.answered();
-  if (out.fault == Fault::none) out.fault = co_await lease->reader->rest(out.body);
-  if (out.fault == Fault::none && out.head.keep_alive) lease.keep();
+  out.error = co_await lease->reader->read_head(out.head);
+  out.error == MessageError::closed ? lease.record_loss() : lease.record_response();
+  if (out.error == MessageError::none) out.error = co_await lease->reader->read_body(out.body);
+  if (out.error == MessageError::none && out.head.keep_alive) lease.return_to_pool();
   co_return out;
 }
 
--- a/http/client.h
+++ b/http/client.h
@@ -15,11 +15,11 @@
 
 struct Connection {
   io::Socket socket;
-  std::unique_ptr<Reader> reader;
+  std::unique_ptr<MessageReader> reader;
   Priority priority{Priority::ordinary};  // of its present use
-  bool yielded{};                         // was closed to make way for another release, and counts no more
-  bool used_before{};
-  io::Nanos stood{};  // how long it was kept unused before this use
+  bool preempted{};                       // was closed to make way for another release, and counts no more
+  bool reused{};
+  io::Nanos idle_time{};  // how long it was kept unused before this use
 };
 
 class Pool;
@@ -31,13 +31,13 @@
 class ConnectionCount {
  public:
   ConnectionCount(std::size_t most, std::size_t for_releases) : most_(most), for_releases_(for_releases) {}
-  std::size_t open() const { return open_; }
+  std::size_t open_count() const { return open_; }
   bool full() const { return open_ >= most_; }
   // Whether one more may be in use, be it kept or new.
   bool admits(Priority priority) const;
   void opened() { ++open_; }
   void closed() { --open_; }
-  void use_begun(Priority priority) { ordinary_in_use_ += priority == Priority::ordinary; }
+  void use_started(Priority priority) { ordinary_in_use_ += priority == Priority::ordinary; }
   void use_ended(Priority priority) { ordinary_in_use_ -= priority == Priority::ordinary; }
   void subtract(const ConnectionCount& gone);
 
@@ -54,7 +54,7 @@
  public:
   // for_releases: so many of the most are never in use by ordinary work.
   explicit ConnectionBudget(std::size_t most, std::size_t for_releases = 0) : count_(most, for_releases) {}
-  std::size_t open() const { return count_.open(); }
+  std::size_t open_count() const { return count_.open_count(); }
 
  private:
   friend class Pool;
@@ -73,24 +73,24 @@
   std::vector<Pool*> pools_;
 };
 
-struct PoolBounds {
+struct PoolLimits {
   io::Nanos dial_timeout = 250 * io::kMs;
-  io::Nanos idle_for = 15 * io::kSecond;  // a kept connection is closed after so long
-  std::size_t kept = 64;
-  std::size_t open = 1024;                     // past this a request waits for one that is given back
+  io::Nanos idle_timeout = 15 * io::kSecond;  // a kept connection is closed after so long
+  std::size_t max_idle = 64;
+  std::size_t max_open = 1024;                 // past this a request waits for one that is given back
   std::shared_ptr<ConnectionBudget> budget{};  // shared with other pools; none: no such bound
   io::Nanos
-      rest{};  // a kept connection is not used again before: a peer's second answer would pass for the next one's
-  std::size_t for_releases{};  // so many of those open are never in use by ordinary work
+      min_idle_before_reuse{};  // a kept connection is not used again before: a peer's second answer would pass for the next one's
+  std::size_t reserved_for_releases{};  // so many of those open are never in use by ordinary work
 };
 
 class Pool {
  public:
-  Pool(io::Loop& loop, io::Address peer, PoolBounds bounds = {})
+  Pool(io::Loop& loop, io::Address peer, PoolLimits bounds = {})
       : loop_(loop),
         peer_(peer),
         bounds_(std::move(bounds)),
-        count_(bounds_.open, bounds_.for_releases),
+        count_(bounds_.max_open, bounds_.reserved_for_releases),
         returned_(loop),
         sweeper_(loop) {
     if (bounds_.budget) bounds_.budget->pools_.push_back(this);
@@ -99,21 +99,21 @@
 
   // A connection that is open as far as can be told, or none: it could not be made in time or, where crowded is set,
   // there was no room for it on this side.
-  io::Task<std::unique_ptr<Connection>> take(bool& crowded, Reuse reuse = Reuse::allowed,
-                                             Priority priority = Priority::ordinary);
+  io::Task<std::unique_ptr<Connection>> acquire(bool& crowded, Reuse reuse = Reuse::allowed,
+                                                Priority priority = Priority::ordinary);
   // A connection whose last response was read to its end. Others are dropped instead.
-  void give_back(std::unique_ptr<Connection> connection);
+  void return_connection(std::unique_ptr<Connection> connection);
   // Closes a connection that was taken.
-  void drop(std::unique_ptr<Connection> connection);
-  void note(const Connection& connection, bool answered);
+  void discard(std::unique_ptr<Connection> connection);
+  void record_use(const Connection& connection, bool answered);
   // Closes what is kept and not in use.
-  void drop_kept();
+  void close_idle();
   io::Address peer() const { return peer_; }
-  std::size_t open() const { return count_.open(); }
-  std::size_t kept() const { return kept_.size(); }
+  std::size_t open_count() const { return count_.open_count(); }
+  std::size_t idle_count() const { return kept_.size(); }
   // Whether one that is kept can be used now.
-  bool has_rested() const;
-  std::size_t dialled() const { return dialled_; }
+  bool has_reusable() const;
+  std::size_t dial_count() const { return dialled_; }
 
  private:
   // Whether a connection that stood idle for so long is still open at its peer, by what others have shown.
@@ -139,7 +139,7 @@
   io::Task<> sweep();
   io::Loop& loop_;
   io::Address peer_;
-  PoolBounds bounds_;
+  PoolLimits bounds_;
   std::deque<Kept> kept_;
   ConnectionCount count_;
   std::size_t dialled_{};
@@ -149,30 +149,30 @@
 };
 
 // Takes a connection for one exchange and settles with the pool whatever becomes of it.
-class Lease {
+class ConnectionLease {
  public:
-  explicit Lease(std::shared_ptr<Pool> pool, Reuse reuse = Reuse::allowed,
-                 Priority priority = Priority::ordinary)
+  explicit ConnectionLease(std::shared_ptr<Pool> pool, Reuse reuse = Reuse::allowed,
+                           Priority priority = Priority::ordinary)
       : pool_(std::move(pool)), reuse_(reuse), priority_(priority) {}
-  ~Lease() { drop(); }
-  Lease(const Lease&) = delete;
-  Lease& operator=(const Lease&) = delete;
-  io::Task<bool> take() {
-    connection_ = co_await pool_->take(crowded_, reuse_, priority_);
+  ~ConnectionLease() { discard(); }
+  ConnectionLease(const ConnectionLease&) = delete;
+  ConnectionLease& operator=(const ConnectionLease&) = delete;
+  io::Task<bool> acquire() {
+    connection_ = co_await pool_->acquire(crowded_, reuse_, priority_);
     co_return connection_ != nullptr;
   }
   // Its use brought an answer, or broke before any byte of one.
-  void answered() { pool_->note(*connection_, true); }
-  void lost() { pool_->note(*connection_, false); }
+  void record_response() { pool_->record_use(*connection_, true); }
+  void record_loss() { pool_->record_use(*connection_, false); }
   // Why none was taken: no room on this side, and no fault of the peer.
-  bool crowded() const { return crowded_; }
+  bool at_capacity() const { return crowded_; }
   Connection& operator*() { return *connection_; }
   Connection* operator->() { return connection_.get(); }
-  void keep() {
-    if (connection_) pool_->give_back(std::move(connection_));
+  void return_to_pool() {
+    if (connection_) pool_->return_connection(std::move(connection_));
   }
-  void drop() {
-    if (connection_) pool_->drop(std::move(connection_));
+  void discard() {
+    if (connection_) pool_->discard(std::move(connection_));
   }
 
  private:
@@ -184,18 +184,18 @@
 };
 
 // One whole exchange. What became of it: sent tells whether any byte left, so that it may have been acted on.
-struct Exchange {
-  Fault fault{Fault::none};
+struct ExchangeResult {
+  MessageError error{MessageError::none};
   bool connected{};
-  bool crowded{};  // not connected as there was no room on this side
+  bool at_capacity{};  // not connected as there was no room on this side
   bool sent{};
   Head head;
   std::string body;
-  bool ok() const { return connected && fault == Fault::none; }
+  bool ok() const { return connected && error == MessageError::none; }
 };
 // still_wanted, where given, is asked once the connection is made: where it denies, nothing is sent.
-io::Task<Exchange> exchange(std::shared_ptr<Pool> pool, std::string text,
-                            std::function<bool()> still_wanted = {}, Reuse reuse = Reuse::allowed,
-                            Priority priority = Priority::ordinary);
+io::Task<ExchangeResult> exchange(std::shared_ptr<Pool> pool, std::string text,
+                                  std::function<bool()> still_wanted = {}, Reuse reuse = Reuse::allowed,
+                                  Priority priority = Priority::ordinary);
 
 }  // namespace cressrill::http
--- a/http/message.cpp
+++ b/http/message.cpp
@@ -20,20 +20,20 @@
   return std::nullopt;
 }
 
-void Head::reset() {
+void Head::clear() {
   method = target = {};
   status = 0, keep_alive = false;
   fields.clear(), text_.clear(), filled_.clear();
 }
 
-void Head::make_room(std::size_t bytes) {
+void Head::reserve(std::size_t bytes) {
   if (text_.capacity() - text_.size() >= bytes) return;
   const std::size_t room = std::max(bytes, 2 * text_.capacity());
   if (!text_.empty()) filled_.push_back(std::exchange(text_, {}));
   text_.reserve(room);
 }
 
-std::string_view Head::keep(std::string_view text, bool lower) {
+std::string_view Head::store(std::string_view text, bool lower) {
   const std::size_t at = text_.size();
   text_.insert(text_.end(), text.begin(), text.end());
   if (lower)
@@ -42,7 +42,7 @@
   return {text_.data() + at, text.size()};
 }
 
-const char* word(Fault fault) {
+const char* to_string(MessageError fault) {
   static constexpr const char* words[] = {"none",           "closed",    "malformed", "head too large",
                                           "body too large", "timed out", "no room"};
   return words[static_cast<int>(fault)];
@@ -72,7 +72,7 @@
   using Base = bh::basic_parser<request>;
 
  public:
-  Parser(Bounds bounds, Target& to) : to_(to) {
+  Parser(MessageLimits bounds, Target& to) : to_(to) {
     this->header_limit(static_cast<std::uint32_t>(bounds.head_bytes));
     // A stream may be of any length: whoever keeps a response's body bounds it.
     if constexpr (request)
@@ -97,20 +97,20 @@
  private:
   static std::string_view std_view(beast::string_view text) { return {text.data(), text.size()}; }
   void on_request_impl(bh::verb, beast::string_view method, beast::string_view target, int, Error&) override {
-    to_.head->method = to_.head->keep(std_view(method));
-    to_.head->target = to_.head->keep(std_view(target));
+    to_.head->method = to_.head->store(std_view(method));
+    to_.head->target = to_.head->store(std_view(target));
   }
   void on_response_impl(int status, beast::string_view, int, Error&) override { to_.head->status = status; }
   void on_field_impl(bh::field, beast::string_view name, beast::string_view value, Error& error) override {
     if (to_.head == nullptr) return;  // a trailer: nothing here is asked of one
     Head& head = *to_.head;
-    const std::string_view key = head.keep(std_view(name), true);
+    const std::string_view key = head.store(std_view(name), true);
     // RFC 9112, 6.3: a message that tells its length twice may be a smuggled one.
     if (key == "content-length" && (head.field(key) || head.field("transfer-encoding")))
       error = bh::error::bad_content_length;
     if (key == "transfer-encoding" && (head.field(key) || head.field("content-length")))
       error = bh::error::bad_transfer_encoding;
-    head.fields.emplace_back(key, head.keep(std_view(value)));
+    head.fields.emplace_back(key, head.store(std_view(value)));
   }
   void on_header_impl(Error&) override { to_.head = nullptr; }  // fields from here on are a trailer's
   void on_body_init_impl(boost::optional<std::uint64_t> const&, Error&) override {}
@@ -128,11 +128,11 @@
   Target& to_;
 };
 
-Fault fault_of(const Error& error) {
-  if (error == bh::error::header_limit) return Fault::head_large;
-  if (error == bh::error::body_limit) return Fault::body_large;
-  if (error == bh::error::partial_message || error == bh::error::end_of_stream) return Fault::closed;
-  return Fault::malformed;
+MessageError fault_of(const Error& error) {
+  if (error == bh::error::header_limit) return MessageError::head_too_large;
+  if (error == bh::error::body_limit) return MessageError::body_too_large;
+  if (error == bh::error::partial_message || error == bh::error::end_of_stream) return MessageError::closed;
+  return MessageError::malformed;
 }
 
 }  // namespace
@@ -141,12 +141,12 @@
 constexpr std::size_t kSmall = 4 * 1024;
 constexpr std::size_t kLarge = 64 * 1024;
 
-struct Reader::Parts {
-  Parts(io::Socket& s, Kind k, Bounds b) : socket(s), kind(k), bounds(b) {}
+struct MessageReader::Parts {
+  Parts(io::Socket& s, MessageKind k, MessageLimits b) : socket(s), kind(k), bounds(b) {}
 
   io::Socket& socket;
-  Kind kind;
-  Bounds bounds;
+  MessageKind kind;
+  MessageLimits bounds;
   Target target;
   std::variant<std::monostate, Parser<true>, Parser<false>> parser;
   Sink* sink{};
@@ -161,7 +161,7 @@
 
   void fresh(Head* head) {
     target.head = head, target.pieces.clear(), handed = false;
-    if (kind == Kind::request)
+    if (kind == MessageKind::request)
       sink = &parser.emplace<1>(bounds, target);
     else
       sink = &parser.emplace<2>(bounds, target);
@@ -180,11 +180,11 @@
   }
   void have_room(std::size_t wanted) {
     if (wanted <= room) return;
-    std::unique_ptr<char[]> larger(new char[wanted + kSlack]);
+    std::unique_ptr<char[]> larger(new char[wanted + kReadPaddingBytes]);
     std::copy(buffer.get() + used, buffer.get() + size, larger.get());
     buffer = std::move(larger), room = wanted, size -= used, used = 0;
   }
-  io::Task<Fault> more() {
+  io::Task<MessageError> more() {
     if (used == size) {
       used = size = 0;
       // The last read filled it: there is much to come.
@@ -194,50 +194,51 @@
       size -= used, used = 0;
     }
     if (size == room) have_room(std::max(kSmall, room * 2));
-    const io::Moved got = co_await socket.read_some(std::span(buffer.get() + size, room - size));
-    if (!got.ok()) co_return Fault::closed;
+    const io::IoResult got = co_await socket.read_some(std::span(buffer.get() + size, room - size));
+    if (!got.ok()) co_return MessageError::closed;
     if (got.bytes > 0) {
       size += got.bytes;
-      received_at = socket.arrived();
+      received_at = socket.last_readable_at();
       asked_kernel = false;
       filled = size == room;
-      co_return Fault::none;
+      co_return MessageError::none;
     }
-    if (!sink->started()) co_return Fault::closed;
+    if (!sink->started()) co_return MessageError::closed;
     Error error;
     sink->put_eof(error);  // a response may end with its connection
-    co_return error || !sink->done() ? Fault::closed : Fault::none;
+    co_return error || !sink->done() ? MessageError::closed : MessageError::none;
   }
 };
 
-Reader::Reader(io::Socket& socket, Kind kind, Bounds bounds) : parts_(new Parts(socket, kind, bounds)) {
+MessageReader::MessageReader(io::Socket& socket, MessageKind kind, MessageLimits bounds)
+    : parts_(new Parts(socket, kind, bounds)) {
   parts_->fresh(nullptr);
 }
-Reader::~Reader() = default;
-Reader::Reader(Reader&&) noexcept = default;
+MessageReader::~MessageReader() = default;
+MessageReader::MessageReader(MessageReader&&) noexcept = default;
 
-io::Task<Fault> Reader::head(Head& to) {
+io::Task<MessageError> MessageReader::read_head(Head& to) {
   Parts& p = *parts_;
   p.fresh(&to);
   if (p.used == p.size && p.room > kSmall) p.buffer.reset(), p.room = p.used = p.size = 0;
-  to.reset();
+  to.clear();
   for (;;) {
     Error error;
     // A head that comes in pieces: Beast reads its first line, and each field, as soon as they are whole. What was
     // kept of them has to outlive the next piece. No more text than is in hand is kept of one.
-    to.make_room(p.size - p.used);
+    to.reserve(p.size - p.used);
     p.feed(error);
     if (error) co_return fault_of(error);
     if (p.sink->head_done()) break;
-    if (p.size - p.used > p.bounds.head_bytes) co_return Fault::head_large;
-    const Fault fault = co_await p.more();
-    if (fault != Fault::none) co_return fault;
+    if (p.size - p.used > p.bounds.head_bytes) co_return MessageError::head_too_large;
+    const MessageError fault = co_await p.more();
+    if (fault != MessageError::none) co_return fault;
   }
   to.keep_alive = p.sink->keep_alive();
-  co_return Fault::none;
+  co_return MessageError::none;
 }
 
-io::Task<Fault> Reader::pieces(std::span<const std::string_view>& to) {
+io::Task<MessageError> MessageReader::read_body_pieces(std::span<const std::string_view>& to) {
   Parts& p = *parts_;
   to = {};
   if (std::exchange(p.handed, false)) p.target.pieces.clear();
@@ -246,49 +247,50 @@
     p.feed(error);
     if (!p.target.pieces.empty()) p.handed = true, to = p.target.pieces;
     if (error) co_return fault_of(error);
-    if (p.handed || p.sink->done()) co_return Fault::none;
-    const Fault fault = co_await p.more();
-    if (fault != Fault::none) co_return fault;
+    if (p.handed || p.sink->done()) co_return MessageError::none;
+    const MessageError fault = co_await p.more();
+    if (fault != MessageError::none) co_return fault;
   }
 }
 
-io::Task<Fault> Reader::body(std::string& to) {
+io::Task<MessageError> MessageReader::read_some_body(std::string& to) {
   std::span<const std::string_view> got;
-  const Fault fault = co_await pieces(got);
+  const MessageError fault = co_await read_body_pieces(got);
   for (const std::string_view piece : got) {
-    if (to.size() + piece.size() > parts_->bounds.body_bytes) co_return Fault::body_large;
+    if (to.size() + piece.size() > parts_->bounds.body_bytes) co_return MessageError::body_too_large;
     // Room for all that was told of, once enough came that it is not only told.
     if (to.size() + piece.size() > to.capacity())
       to.reserve(
           std::max(to.capacity() * 2, std::min(parts_->sink->length(), to.empty() ? kLarge : SIZE_MAX)) +
-          piece.size() + kSlack);
+          piece.size() + kReadPaddingBytes);
     to.append(piece);
   }
   co_return fault;
 }
 
-io::Task<Fault> Reader::rest(std::string& to) {
-  while (more()) {
-    const Fault fault = co_await body(to);
-    if (fault != Fault::none) co_return fault;
+io::Task<MessageError> MessageReader::read_body(std::string& to) {
+  while (has_more()) {
+    const MessageError fault = co_await read_some_body(to);
+    if (fault != MessageError::none) co_return fault;
   }
-  to.reserve(to.size() + kSlack);
-  co_return Fault::none;
+  to.reserve(to.size() + kReadPaddingBytes);
+  co_return MessageError::none;
 }
 
-bool Reader::more() const {
+bool MessageReader::has_more() const {
   return !parts_->sink->done() || (!parts_->handed && !parts_->target.pieces.empty());
 }
-bool Reader::leftover() const { return parts_->used < parts_->size; }
-io::Nanos Reader::received_at() const {
+bool MessageReader::has_leftover() const { return parts_->used < parts_->size; }
+io::Nanos MessageReader::received_at() const {
   Parts& p = *parts_;
-  if (!std::exchange(p.asked_kernel, true)) p.received_at = std::min(p.received_at, p.socket.last_received());
+  if (!std::exchange(p.asked_kernel, true))
+    p.received_at = std::min(p.received_at, p.socket.last_received_at());
   return p.received_at;
 }
-bool Reader::started() const { return parts_->sink->started() || leftover(); }
+bool MessageReader::started() const { return parts_->sink->started() || has_leftover(); }
 
-std::string request_head(std::string_view method, std::string_view target, std::string_view host,
-                         std::string_view fields, std::size_t body_bytes) {
+std::string format_request_head(std::string_view method, std::string_view target, std::string_view host,
+                                std::string_view fields, std::size_t body_bytes) {
   std::string out;
   out.reserve(128 + target.size() + fields.size());
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\nhost: ").append(host).append("\r\n");
@@ -298,9 +300,9 @@
   return out.append("\r\n");
 }
 
-std::string request_text(std::string_view method, std::string_view target, std::string_view host,
-                         std::string_view fields, std::string_view body) {
-  return request_head(method, target, host, fields, body.size()).append(body);
+std::string format_request(std::string_view method, std::string_view target, std::string_view host,
+                           std::string_view fields, std::string_view body) {
+  return format_request_head(method, target, host, fields, body.size()).append(body);
 }
 
 namespace {
@@ -313,41 +315,41 @@
 }
 }  // namespace
 
-std::string response_text(int status, std::string_view fields, std::string_view body, bool keep_alive) {
+std::string format_response(int status, std::string_view fields, std::string_view body, bool keep_alive) {
   std::string out = first_line(status, keep_alive);
   out.append(fields).append("content-length: ").append(std::to_string(body.size())).append("\r\n\r\n");
   return out.append(body);
 }
 
-std::string stream_head(int status, std::string_view fields, bool keep_alive) {
+std::string format_stream_head(int status, std::string_view fields, bool keep_alive) {
   return first_line(status, keep_alive).append(fields).append("transfer-encoding: chunked\r\n\r\n");
 }
 
-ChunkLine::ChunkLine(std::size_t bytes) {
+ChunkSizeLine::ChunkSizeLine(std::size_t bytes) {
   static constexpr char digits[] = "0123456789abcdef";
   text_[--at_] = '\n', text_[--at_] = '\r';
   for (std::size_t n = bytes; n > 0; n >>= 4) text_[--at_] = digits[n & 15];
 }
 
-void Events::feed(std::string_view bytes) {
+void SseParser::feed(std::string_view bytes) {
   if (open_.empty()) {
     open_ = bytes;
     return;
   }
   if (!held()) open_ = held_.assign(open_);
   held_.erase(0, static_cast<std::size_t>(open_.data() - held_.data()));
-  held_.reserve(held_.size() + bytes.size() + kSlack);
+  held_.reserve(held_.size() + bytes.size() + kReadPaddingBytes);
   open_ = held_.append(bytes);
 }
 
-std::optional<std::string_view> Events::next() {
+std::optional<std::string_view> SseParser::next() {
   std::string_view data;
   int lines = 0;
   for (std::size_t from = 0;;) {
     const std::size_t end = open_.find('\n', from);
     if (end == std::string_view::npos) {
       if (!open_.empty() && !held()) {
-        held_.reserve(open_.size() + kSlack);
+        held_.reserve(open_.size() + kReadPaddingBytes);
         open_ = held_.assign(open_);
       }
       return std::nullopt;
@@ -371,7 +373,7 @@
       continue;
     }
     if (lines == 2) joined_.assign(data);
-    joined_.reserve(joined_.size() + 1 + line.size() + kSlack);
+    joined_.reserve(joined_.size() + 1 + line.size() + kReadPaddingBytes);
     joined_.append("\n").append(line);
     data = joined_;
   }
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -13,15 +13,15 @@
 constexpr io::Nanos kLinger = io::kSecond;  // for what still comes after an answer that ends its connection
 
 // Of the error that a request is answered with which cannot be read.
-int status_of(Fault fault) {
+int status_of(MessageError fault) {
   switch (fault) {
-    case Fault::body_large:
+    case MessageError::body_too_large:
       return 413;
-    case Fault::head_large:
+    case MessageError::head_too_large:
       return 431;
-    case Fault::timed_out:
+    case MessageError::timed_out:
       return 408;
-    case Fault::crowded_out:
+    case MessageError::no_capacity:
       return 503;
     default:
       return 400;
@@ -29,49 +29,50 @@
 }
 }  // namespace
 
-const char* word(ConnectionEnd end) {
+const char* to_string(ConnectionEnd end) {
   static constexpr const char* words[] = {"by_client", "after_answer", "refused",
                                           "idle",      "evicted",      "unanswered"};
   return words[static_cast<int>(end)];
 }
 
-bool Answer::wrote(const io::Moved& moved) {
+bool ResponseWriter::wrote(const io::IoResult& moved) {
   if (moved.ok()) return true;
   broken_ = true;
   stalled_ = moved.error == ETIMEDOUT;
   keep_alive_ = false;
   return false;
 }
-io::Task<bool> Answer::whole(int status, std::string_view fields, std::string_view body) {
+io::Task<bool> ResponseWriter::respond(int status, std::string_view fields, std::string_view body) {
   begun_ = true;
-  const std::string text = response_text(status, fields, body, keep_alive_);
+  const std::string text = format_response(status, fields, body, keep_alive_);
   co_return wrote(co_await socket_.write_all(text));
 }
-void Answer::begin_with_part(int status, std::string_view fields) {
+void ResponseWriter::begin_stream_deferred(int status, std::string_view fields) {
   begun_ = true;
-  head_ = stream_head(status, fields, keep_alive_);
+  head_ = format_stream_head(status, fields, keep_alive_);
 }
-io::Task<bool> Answer::begin(int status, std::string_view fields) {
-  begin_with_part(status, fields);
+io::Task<bool> ResponseWriter::begin_stream(int status, std::string_view fields) {
+  begin_stream_deferred(status, fields);
   co_return wrote(co_await socket_.write_all(std::exchange(head_, {})));
 }
-io::Task<bool> Answer::part(std::string_view data) {
-  const ChunkLine line(data.size());
+io::Task<bool> ResponseWriter::write_chunk(std::string_view data) {
+  const ChunkSizeLine line(data.size());
   const std::array<std::string_view, 4> parts{head_, line.text(), data, kChunkEnd};
-  const io::Moved moved = co_await socket_.write_all(std::span(parts).subspan(head_.empty() ? 1 : 0));
+  const io::IoResult moved = co_await socket_.write_all(std::span(parts).subspan(head_.empty() ? 1 : 0));
   head_.clear();
   co_return wrote(moved);
 }
-io::Task<bool> Answer::end(std::string_view data) {
-  const ChunkLine line(data.size());
+io::Task<bool> ResponseWriter::end_stream(std::string_view data) {
+  const ChunkSizeLine line(data.size());
   std::array<std::string_view, 5> parts{head_, line.text(), data, kChunkEnd, kLastChunk};
   if (data.empty()) parts[1] = parts[3] = {};
-  const io::Moved moved = co_await socket_.write_all(parts);
+  const io::IoResult moved = co_await socket_.write_all(parts);
   head_.clear();
   co_return wrote(moved);
 }
 
-Server::Server(io::Loop& loop, io::Address address, Handler handler, Bounds bounds, std::size_t connections)
+Server::Server(io::Loop& loop, io::Address address, Handler handler, MessageLimits bounds,
+               std::size_t connections)
     : loop_(loop),
       handler_(std::move(handler)),
       bounds_(bounds),
@@ -79,8 +80,8 @@
       closed_(loop),
       listener_(loop, address),
       sessions_(loop),
-      acceptor_(loop, io::Scope::Failure::ends_program),
-      keeper_(loop, io::Scope::Failure::ends_program) {
+      acceptor_(loop, io::Scope::OnException::end_process),
+      keeper_(loop, io::Scope::OnException::end_process) {
   acceptor_.spawn(accept());
 }
 
@@ -100,14 +101,14 @@
   if (ending == Ending::closed)
     idle.socket.close();
   else
-    idle.socket.stop_reading();
+    idle.socket.cancel_read();
 }
 
 void Server::stop_accepting() {
   acceptor_.cancel();
   accepting_rest_ = true;
   acceptor_.spawn(accept_rest());
-  wind_down(true);
+  drain(true);
 }
 
 // Closes the listener, but first takes what the machine has accepted: a connection that is left in the listener's queue is
@@ -121,13 +122,13 @@
   }
   listener_.close();
   accepting_rest_ = false;
-  wind_down(true);
+  drain(true);
 }
 
-void Server::wind_down(bool all) {
+void Server::drain(bool all) {
   stopping_ = true;
   end_idle_if([all](const IdleConnection& idle) {
-    const bool unused = idle.first && !idle.half_read() && !idle.socket.has_unread();
+    const bool unused = idle.first && !idle.half_read() && !idle.socket.has_unread_data();
     return idle.between_requests() || (all && unused) ? Ending::ended : Ending::stays;
   });
 }
@@ -147,7 +148,7 @@
       if (idle.due > loop_.now()) return Ending::stays;
       if (idle.half_read()) return Ending::timed_out;
       if (idle.between_requests()) return Ending::ended;
-      return idle.socket.has_unread() && !idle.lingers() ? Ending::stays : Ending::closed;
+      return idle.socket.has_unread_data() && !idle.lingers() ? Ending::stays : Ending::closed;
     });
   }
 }
@@ -162,7 +163,7 @@
       if (half_read == nullptr) half_read = &idle;
       continue;
     }
-    if (!idle.socket.has_unread()) return evict(idle, Ending::closed);
+    if (!idle.socket.has_unread_data()) return evict(idle, Ending::closed);
   }
   if (half_read != nullptr) evict(*half_read, Ending::crowded_out);
 }
@@ -173,9 +174,9 @@
   end_idle(idle, ending);
 }
 
-void Server::accept_slowly(io::Nanos each) {
+void Server::throttle_accept(io::Nanos each) {
   accept_each_ = each;
-  listener_.backlog(each > 0 ? 0 : 1024);
+  listener_.set_backlog(each > 0 ? 0 : 1024);
 }
 
 void Server::kill() {
@@ -205,14 +206,14 @@
 
 void Server::begin(io::Socket socket) {
   ++open_;
-  socket.limit_write_stall(write_stall_);
+  socket.set_write_stall_timeout(write_stall_);
   sessions_.spawn(serve(std::move(socket)));
 }
 
-io::Task<> Server::refuse(io::Socket& socket, Fault fault, bool& evicted) {
+io::Task<> Server::refuse(io::Socket& socket, MessageError fault, bool& evicted) {
   const int status = status_of(fault);
-  const std::string body = refusal_ ? refusal_(status, fault) : std::string(word(fault)) + "\n";
-  co_await socket.write_all(response_text(status, "content-type: application/json\r\n", body, false));
+  const std::string body = refusal_ ? refusal_(status, fault) : std::string(to_string(fault)) + "\n";
+  co_await socket.write_all(format_response(status, "content-type: application/json\r\n", body, false));
   // Unread bytes of what was refused would reset the connection, and could take the answer with it.
   co_await end_in_order(socket, evicted, StillRead::rest_of_refused);
 }
@@ -226,44 +227,45 @@
   ::shutdown(socket.fd(), SHUT_WR);
   if (still_read == StillRead::nothing) {
     // A request that crosses the end stays unread: the kernel tells its client by a reset, and it is sent again.
-    co_await io::within(loop_, until, client_ends(socket));
+    co_await io::with_deadline(loop_, until, client_ends(socket));
     co_return;
   }
   std::array<char, 16 * 1024> buffer;
   for (;;) {
-    const auto got = co_await io::within(loop_, until, socket.read_some(buffer));
+    const auto got = co_await io::with_deadline(loop_, until, socket.read_some(buffer));
     if (!got || !got->ok() || got->bytes == 0) break;
   }
 }
 
 io::Task<bool> Server::client_ends(io::Socket& socket) {
-  co_await socket.peer_gone();
+  co_await socket.wait_for_peer_close();
   co_return true;
 }
 
 // The next request of a connection, or why there is none.
-io::Task<Fault> Server::read_request(Session& session, Request& request) {
+io::Task<MessageError> Server::read_request(Session& session, Request& request) {
   request.body.clear();
   const bool first = session.requests++ == 0;
-  IdleConnection idle(*this, session.socket, due(first ? timeouts_.first : timeouts_.idle), session.evicted,
-                      &session.reader);
+  IdleConnection idle(*this, session.socket, due(first ? timeouts_.first_request : timeouts_.idle),
+                      session.evicted, &session.reader);
   idle.first = first;
-  Fault fault = co_await session.reader.head(request.head);
+  MessageError fault = co_await session.reader.read_head(request.head);
   // RFC 9110, 10.1.1: the client may wait to be asked for the body.
-  if (fault == Fault::none && request.head.field("expect") == "100-continue" && session.reader.more())
+  if (fault == MessageError::none && request.head.field("expect") == "100-continue" &&
+      session.reader.has_more())
     co_await session.socket.write_all("HTTP/1.1 100 Continue\r\n\r\n");
-  if (fault == Fault::none) fault = co_await session.reader.rest(request.body);
+  if (fault == MessageError::none) fault = co_await session.reader.read_body(request.body);
   session.ended = idle.ending == Ending::ended;
-  if (idle.ending == Ending::timed_out) co_return Fault::timed_out;
-  if (idle.ending == Ending::crowded_out) co_return Fault::crowded_out;
+  if (idle.ending == Ending::timed_out) co_return MessageError::timed_out;
+  if (idle.ending == Ending::crowded_out) co_return MessageError::no_capacity;
   // A client that has ended its connection has gone, whatever it sent before.
-  co_return session.socket.peer_ended() ? Fault::closed : fault;
+  co_return session.socket.peer_closed() ? MessageError::closed : fault;
 }
 
 io::Nanos Server::due(io::Nanos span) const { return span > 0 ? loop_.now() + span : io::Loop::kNoTimer; }
 
 // An exception ends the request that it comes from, and no other.
-io::Task<Server::Handled> Server::handle(Request& request, Answer& answer) {
+io::Task<Server::Handled> Server::handle(Request& request, ResponseWriter& answer) {
   std::exception_ptr thrown;
   try {
     co_await handler_(request, answer);
@@ -271,18 +273,18 @@
     thrown = std::current_exception();
   }
   if (thrown) {
-    loop_.task_failed(thrown);
-    if (!answer.begun() && !answer.broken()) {
-      answer.close_after();
-      co_await answer.whole(500, "", "");
+    loop_.report_task_failure(thrown);
+    if (!answer.started() && !answer.write_failed()) {
+      answer.close_after_response();
+      co_await answer.respond(500, "", "");
     } else {
-      answer.break_off();
+      answer.abort();
     }
     co_return Handled::answered;
   }
-  if (answer.begun()) co_return Handled::answered;
-  if (!answer.socket().is_open() || answer.broken()) co_return Handled::client_left;
-  answer.break_off();
+  if (answer.started()) co_return Handled::answered;
+  if (!answer.socket().is_open() || answer.write_failed()) co_return Handled::client_left;
+  answer.abort();
   co_return Handled::unanswered;
 }
 
@@ -291,24 +293,25 @@
   io::Socket& socket = session.socket;
   Request request;
   while (socket.is_open()) {
-    const Fault fault = co_await read_request(session, request);
+    const MessageError fault = co_await read_request(session, request);
     if (session.ended) {
       co_await end_in_order(socket, session.evicted, StillRead::nothing);
       co_return ConnectionEnd::idle;
     }
-    if (session.evicted && fault == Fault::closed) co_return ConnectionEnd::evicted;
-    if (fault == Fault::closed) co_return socket.is_open() ? ConnectionEnd::by_client : ConnectionEnd::idle;
-    if (fault != Fault::none) {
+    if (session.evicted && fault == MessageError::closed) co_return ConnectionEnd::evicted;
+    if (fault == MessageError::closed)
+      co_return socket.is_open() ? ConnectionEnd::by_client : ConnectionEnd::idle;
+    if (fault != MessageError::none) {
       co_await refuse(socket, fault, session.evicted);
       co_return ConnectionEnd::refused;
     }
-    request.came = std::min(loop_.now(), session.reader.received_at());
+    request.received_at = std::min(loop_.now(), session.reader.received_at());
     // What has been read of further requests is answered, too: their client will not send them again.
-    const auto ends = [&] { return stopping_ && !session.reader.leftover(); };
-    Answer answer(socket, request.head.keep_alive && !ends());
+    const auto ends = [&] { return stopping_ && !session.reader.has_leftover(); };
+    ResponseWriter answer(socket, request.head.keep_alive && !ends());
     const Handled handled = co_await handle(request, answer);
     if (handled == Handled::unanswered) co_return ConnectionEnd::unanswered;
-    if (handled == Handled::client_left || answer.broken()) co_return ConnectionEnd::by_client;
+    if (handled == Handled::client_left || answer.write_failed()) co_return ConnectionEnd::by_client;
     if (answer.keep_alive() && !ends()) continue;
     co_await end_in_order(socket, session.evicted, StillRead::nothing);
     co_return ConnectionEnd::after_answer;
@@ -317,7 +320,7 @@
 }
 
 io::Task<> Server::serve(io::Socket socket) {
-  Session session{socket, Reader(socket, Kind::request, bounds_)};
+  Session session{socket, MessageReader(socket, MessageKind::request, bounds_)};
   const ConnectionEnd end = co_await converse(session);
   if (observe_end_) observe_end_(end);
   socket.close();
--- a/http/server.h
+++ b/http/server.h
@@ -10,36 +10,36 @@
 
 struct Request {
   Head head;
-  std::string body;  // with room for kSlack more
-  io::Nanos came{};  // when its last byte had come
+  std::string body;         // with room for kSlack more
+  io::Nanos received_at{};  // when its last byte had come
 };
 
 // What a handler answers with. A handler writes one whole response, or a stream, and nothing else.
-class Answer {
+class ResponseWriter {
  public:
-  Answer(io::Socket& socket, bool keep_alive) : socket_(socket), keep_alive_(keep_alive) {}
+  ResponseWriter(io::Socket& socket, bool keep_alive) : socket_(socket), keep_alive_(keep_alive) {}
   // fields: "name: value\r\n" lines.
-  io::Task<bool> whole(int status, std::string_view fields, std::string_view body);
-  io::Task<bool> begin(int status, std::string_view fields);
+  io::Task<bool> respond(int status, std::string_view fields, std::string_view body);
+  io::Task<bool> begin_stream(int status, std::string_view fields);
   // As begin, but the head goes out with the first part, in one call of the kernel.
-  void begin_with_part(int status, std::string_view fields);
-  io::Task<bool> part(std::string_view data);
+  void begin_stream_deferred(int status, std::string_view fields);
+  io::Task<bool> write_chunk(std::string_view data);
   // data: a last part, or none.
-  io::Task<bool> end(std::string_view data = {});
+  io::Task<bool> end_stream(std::string_view data = {});
   // The peer is left without a proper end: it sees that the answer broke.
-  void break_off() { keep_alive_ = false, socket_.close(true); }
-  io::Task<> peer_gone() { return socket_.peer_gone(); }
+  void abort() { keep_alive_ = false, socket_.close(true); }
+  io::Task<> wait_for_client_close() { return socket_.wait_for_peer_close(); }
   io::Socket& socket() { return socket_; }
-  bool begun() const { return begun_; }
-  bool broken() const { return broken_; }
+  bool started() const { return begun_; }
+  bool write_failed() const { return broken_; }
   // Broken as the peer took nothing for as long as the connection allows.
-  bool stalled() const { return stalled_; }
+  bool write_stalled() const { return stalled_; }
   bool keep_alive() const { return keep_alive_; }
   // The connection ends behind what was written, which still reaches the peer: with an answer that was not ended, cut.
-  void close_after() { keep_alive_ = false; }
+  void close_after_response() { keep_alive_ = false; }
 
  private:
-  bool wrote(const io::Moved& moved);
+  bool wrote(const io::IoResult& moved);
   io::Socket& socket_;
   std::string head_;  // waits for the first part
   bool keep_alive_;
@@ -50,7 +50,7 @@
 
 // Bounds on how long a client may take; 0: no bound.
 struct Timeouts {
-  io::Nanos first{};    // from connecting to the end of its first request
+  io::Nanos first_request{};  // from connecting to the end of its first request
   io::Nanos request{};  // from a later request's first byte to its end, within the time between two looks
   io::Nanos idle{};     // between two requests
 };
@@ -64,37 +64,37 @@
   evicted,       // it made way for another
   unanswered,    // behind a request that was read and that nobody answered: a defect
 };
-const char* word(ConnectionEnd end);
+const char* to_string(ConnectionEnd end);
 
 class Server {
  public:
-  using EndObserver = std::function<void(ConnectionEnd)>;
-  using Handler = std::function<io::Task<>(Request&, Answer&)>;
+  using ConnectionEndObserver = std::function<void(ConnectionEnd)>;
+  using Handler = std::function<io::Task<>(Request&, ResponseWriter&)>;
   // What a request that cannot be read is answered with: status and body, sent before the connection closes.
-  using Refusal = std::function<std::string(int status, Fault fault)>;
+  using ErrorBodyFormatter = std::function<std::string(int status, MessageError fault)>;
 
-  Server(io::Loop& loop, io::Address address, Handler handler, Bounds bounds = {},
+  Server(io::Loop& loop, io::Address address, Handler handler, MessageLimits bounds = {},
          std::size_t connections = 20'000);
   const io::Address& address() const { return listener_.address(); }
-  void refuse_with(Refusal refusal) { refusal_ = std::move(refusal); }
-  void observe_ends(EndObserver observer) { observe_end_ = std::move(observer); }
+  void set_error_body_formatter(ErrorBodyFormatter refusal) { refusal_ = std::move(refusal); }
+  void observe_connection_ends(ConnectionEndObserver observer) { observe_end_ = std::move(observer); }
   // Ends connections whose clients take longer. Set before the first comes.
   void set_timeouts(Timeouts timeouts);
   // Ends a connection whose client takes nothing of what is written to it for so long. Set before the first comes.
-  void limit_write_stall(io::Nanos span) { write_stall_ = span; }
+  void set_write_stall_timeout(io::Nanos span) { write_stall_ = span; }
   // Connections end after the request that they carry, those that have carried one and carry none at once; new ones are
   // still taken, and may bring one. all: those that have carried none end as well.
-  void wind_down(bool all);
+  void drain(bool all);
   // No new connections beside those that the machine has accepted; those that are open end after the request that they
   // carry.
   void stop_accepting();
-  std::size_t connections() const { return open_; }
+  std::size_t open_connections() const { return open_; }
   // Told to stop accepting, and the machine may still hold connections that it accepted and that nobody has taken.
-  bool accepting_rest() const { return accepting_rest_; }
+  bool draining_accept_queue() const { return accepting_rest_; }
   // Connections with a request in hand.
-  std::size_t in_hand() const { return open_ - idle_count_; }
+  std::size_t active_connections() const { return open_ - idle_count_; }
   // For stand-ins: takes a connection at most each so often, with no line of those that wait; 0 as usual.
-  void accept_slowly(io::Nanos each);
+  void throttle_accept(io::Nanos each);
   // Breaks every connection and stops listening.
   void kill();
 
@@ -102,7 +102,7 @@
   // State of one connection beside its socket.
   struct Session {
     io::Socket& socket;
-    Reader reader;
+    MessageReader reader;
     std::size_t requests{};  // whose reading has begun
     bool evicted{};          // it was closed to make room
     bool ended{};            // this side has ended it: what still comes is not read
@@ -115,10 +115,10 @@
   io::Task<> serve(io::Socket socket);
   io::Task<ConnectionEnd> converse(Session& session);
   enum class Handled { answered, client_left, unanswered };
-  io::Task<Handled> handle(Request& request, Answer& answer);
-  io::Task<Fault> read_request(Session& session, Request& request);
+  io::Task<Handled> handle(Request& request, ResponseWriter& answer);
+  io::Task<MessageError> read_request(Session& session, Request& request);
   io::Nanos due(io::Nanos span) const;
-  io::Task<> refuse(io::Socket& socket, Fault fault, bool& evicted);
+  io::Task<> refuse(io::Socket& socket, MessageError fault, bool& evicted);
 
   // What becomes of an idle connection: closed at once, ended so that bytes that cross its end do no harm, or, where a part
   // of a request has come, answered with an error.
@@ -126,9 +126,9 @@
 
   io::Loop& loop_;
   Handler handler_;
-  Refusal refusal_;
-  EndObserver observe_end_;
-  Bounds bounds_;
+  ErrorBodyFormatter refusal_;
+  ConnectionEndObserver observe_end_;
+  MessageLimits bounds_;
   std::size_t connections_;
   std::size_t open_{};
   bool stopping_{};
@@ -136,7 +136,7 @@
   io::Nanos accept_each_{};
   // A connection that carries no whole request, from its beginning or its last answer on. In the list by that time.
   struct IdleConnection : io::intrusive::list_base_hook<io::AutoUnlink> {
-    IdleConnection(Server& of, io::Socket& s, io::Nanos until, bool& e, const Reader* r = nullptr)
+    IdleConnection(Server& of, io::Socket& s, io::Nanos until, bool& e, const MessageReader* r = nullptr)
         : server(of), socket(s), due(until), evicted(e), reader(r) {
       server.idle_.push_back(*this), ++server.idle_count_;
       if (server.open_ >= server.connections_) server.closed_.notify();  // it may make room
@@ -146,7 +146,7 @@
     io::Socket& socket;
     io::Nanos due;
     bool& evicted;
-    const Reader* reader;          // of its requests; null where it lingers
+    const MessageReader* reader;   // of its requests; null where it lingers
     bool first{};                  // it has carried no request yet
     bool part_seen{};              // a part of its next request has come, and 'due' counts from then
     Ending ending{Ending::stays};  // how this side ends it
--- a/io/calls.h
+++ b/io/calls.h
@@ -7,7 +7,7 @@
 
 namespace cressrill::io {
 
-enum class Call {
+enum class SystemCall {
   accept4,
   close,
   connect,
@@ -19,19 +19,19 @@
   setsockopt,
   socket
 };
-constexpr std::size_t kCalls = 10;
-constexpr std::array<const char*, kCalls> kCallNames{"accept4",    "close",      "connect", "epoll_ctl",
-                                                     "epoll_wait", "getsockopt", "recv",    "send",
-                                                     "setsockopt", "socket"};
+constexpr std::size_t kSystemCallCount = 10;
+constexpr std::array<const char*, kSystemCallCount> kSystemCallNames{
+    "accept4",    "close", "connect", "epoll_ctl",  "epoll_wait",
+    "getsockopt", "recv",  "send",    "setsockopt", "socket"};
 
-class Calls {
+class SystemCallCounts {
  public:
-  void add(Call call, std::uint64_t times = 1) { count_[static_cast<std::size_t>(call)] += times; }
-  std::uint64_t of(Call call) const { return count_[static_cast<std::size_t>(call)]; }
-  const std::array<std::uint64_t, kCalls>& all() const { return count_; }
+  void add(SystemCall call, std::uint64_t times = 1) { count_[static_cast<std::size_t>(call)] += times; }
+  std::uint64_t count(SystemCall call) const { return count_[static_cast<std::size_t>(call)]; }
+  const std::array<std::uint64_t, kSystemCallCount>& counts() const { return count_; }
 
  private:
-  std::array<std::uint64_t, kCalls> count_{};
+  std::array<std::uint64_t, kSystemCallCount> count_{};
 };
 
 }  // namespace cressrill::io
--- a/io/failure.cpp
+++ b/io/failure.cpp
@@ -9,38 +9,49 @@
 
 struct Row {
   int error;
-  Failure failure;
+  ErrorClass failure;
 };
 
 // Errors that mean the same whatever call they come from.
 constexpr std::array kAnyCall{
-    Row{EINTR, Failure::interrupted},         Row{EAGAIN, Failure::would_block},
-    Row{EWOULDBLOCK, Failure::would_block},   Row{EMFILE, Failure::local_lack},
-    Row{ENFILE, Failure::local_lack},         Row{ENOBUFS, Failure::local_lack},
-    Row{ENOMEM, Failure::local_lack},         Row{ENOSPC, Failure::local_lack},
-    Row{ECONNABORTED, Failure::disconnected}, Row{ECONNREFUSED, Failure::disconnected},
-    Row{ECONNRESET, Failure::disconnected},   Row{EPIPE, Failure::disconnected},
-    Row{ETIMEDOUT, Failure::disconnected},    Row{EHOSTUNREACH, Failure::disconnected},
-    Row{EHOSTDOWN, Failure::disconnected},
+    Row{EINTR, ErrorClass::interrupted},         Row{EAGAIN, ErrorClass::would_block},
+    Row{EWOULDBLOCK, ErrorClass::would_block},   Row{EMFILE, ErrorClass::resource_shortage},
+    Row{ENFILE, ErrorClass::resource_shortage},  Row{ENOBUFS, ErrorClass::resource_shortage},
+    Row{ENOMEM, ErrorClass::resource_shortage},  Row{ENOSPC, ErrorClass::resource_shortage},
+    Row{ECONNABORTED, ErrorClass::disconnected}, Row{ECONNREFUSED, ErrorClass::disconnected},
+    Row{ECONNRESET, ErrorClass::disconnected},   Row{EPIPE, ErrorClass::disconnected},
+    Row{ETIMEDOUT, ErrorClass::disconnected},    Row{EHOSTUNREACH, ErrorClass::disconnected},
+    Row{EHOSTDOWN, ErrorClass::disconnected},
 };
 
 // A connect that cannot even begin has no port, no route or no leave on this machine.
 constexpr std::array kConnect{
-    Row{EINTR, Failure::would_block},        Row{EINPROGRESS, Failure::would_block},
-    Row{EALREADY, Failure::would_block},     Row{EAGAIN, Failure::local_lack},
-    Row{EADDRNOTAVAIL, Failure::local_lack}, Row{EADDRINUSE, Failure::local_lack},
-    Row{ENETUNREACH, Failure::local_lack},   Row{ENETDOWN, Failure::local_lack},
-    Row{EPERM, Failure::local_lack},         Row{EACCES, Failure::local_lack},
+    Row{EINTR, ErrorClass::would_block},
+    Row{EINPROGRESS, ErrorClass::would_block},
+    Row{EALREADY, ErrorClass::would_block},
+    Row{EAGAIN, ErrorClass::resource_shortage},
+    Row{EADDRNOTAVAIL, ErrorClass::resource_shortage},
+    Row{EADDRINUSE, ErrorClass::resource_shortage},
+    Row{ENETUNREACH, ErrorClass::resource_shortage},
+    Row{ENETDOWN, ErrorClass::resource_shortage},
+    Row{EPERM, ErrorClass::resource_shortage},
+    Row{EACCES, ErrorClass::resource_shortage},
 };
 
 // Linux passes errors of the new connection on to accept(2): they end it, not the listener.
 constexpr std::array kAccept{
-    Row{ECONNABORTED, Failure::aborted},  Row{EPROTO, Failure::aborted},
-    Row{ENETDOWN, Failure::aborted},      Row{ENOPROTOOPT, Failure::aborted},
-    Row{EHOSTDOWN, Failure::aborted},     Row{ENONET, Failure::aborted},
-    Row{EHOSTUNREACH, Failure::aborted},  Row{ENETUNREACH, Failure::aborted},
-    Row{ETIMEDOUT, Failure::aborted},     Row{ECONNRESET, Failure::aborted},
-    Row{EOPNOTSUPP, Failure::local_lack}, Row{EPERM, Failure::local_lack},
+    Row{ECONNABORTED, ErrorClass::aborted},
+    Row{EPROTO, ErrorClass::aborted},
+    Row{ENETDOWN, ErrorClass::aborted},
+    Row{ENOPROTOOPT, ErrorClass::aborted},
+    Row{EHOSTDOWN, ErrorClass::aborted},
+    Row{ENONET, ErrorClass::aborted},
+    Row{EHOSTUNREACH, ErrorClass::aborted},
+    Row{ENETUNREACH, ErrorClass::aborted},
+    Row{ETIMEDOUT, ErrorClass::aborted},
+    Row{ECONNRESET, ErrorClass::aborted},
+    Row{EOPNOTSUPP, ErrorClass::resource_shortage},
+    Row{EPERM, ErrorClass::resource_shortage},
 };
 
 template <std::size_t size>
@@ -52,12 +63,12 @@
 
 }  // namespace
 
-Failure classify(Call call, int error) {
+ErrorClass classify_error(SystemCall call, int error) {
   const Row* row = nullptr;
-  if (call == Call::connect) row = find(kConnect, error);
-  if (call == Call::accept4) row = find(kAccept, error);
+  if (call == SystemCall::connect) row = find(kConnect, error);
+  if (call == SystemCall::accept4) row = find(kAccept, error);
   if (row == nullptr) row = find(kAnyCall, error);
-  return row == nullptr ? Failure::disconnected : row->failure;
+  return row == nullptr ? ErrorClass::disconnected : row->failure;
 }
 
 }  // namespace cressrill::io
--- a/io/failure.h
+++ b/io/failure.h
@@ -8,15 +8,15 @@
 
 namespace cressrill::io {
 
-enum class Failure : std::uint8_t {
+enum class ErrorClass : std::uint8_t {
   interrupted,  // by a signal: the call is made again at once (a connect goes on by itself)
   would_block,  // nothing to do now; the kernel tells when there is
-  local_lack,  // this machine lacks memory, descriptors, ports or a route just now: no peer's fault, and it passes
+  resource_shortage,  // this machine lacks memory, descriptors, ports or a route just now: no peer's fault, and it passes
   aborted,       // accept: that connection broke before it was taken; the next one may be fine
   disconnected,  // the peer, or the way to it, broke the connection or refuses it
 };
 
 // errno of that call, which failed. An errno that the table does not have counts as disconnected.
-Failure classify(Call call, int error);
+ErrorClass classify_error(SystemCall call, int error);
 
 }  // namespace cressrill::io
--- a/io/frames.h
+++ b/io/frames.h
@@ -9,9 +9,9 @@
 
 namespace cressrill::io {
 
-class Frames {
+class FrameAllocator {
  public:
-  static void* take(std::size_t size) {
+  static void* allocate(std::size_t size) {
 #ifdef __SANITIZE_ADDRESS__
     return ::operator new(size);
 #else
@@ -24,7 +24,7 @@
     return block;
 #endif
   }
-  static void give(void* memory, std::size_t size) noexcept {
+  static void deallocate(void* memory, std::size_t size) noexcept {
 #ifdef __SANITIZE_ADDRESS__
     ::operator delete(memory, size);
 #else
@@ -35,7 +35,7 @@
     c.free = new (memory) Block{c.free};
 #endif
   }
-  ~Frames() {
+  ~FrameAllocator() {
     for (Class& c : classes_)
       while (c.free != nullptr) {
         Block* next = c.free->next;
@@ -56,17 +56,19 @@
     std::size_t kept{};
   };
   static std::size_t at(std::size_t size) { return (size - 1) / kStep; }
-  static Frames& mine() {
-    static thread_local Frames frames;
+  static FrameAllocator& mine() {
+    static thread_local FrameAllocator frames;
     return frames;
   }
   std::array<Class, kLargest / kStep> classes_{};
 };
 
 // For promise types: their frames come from Frames.
-struct Framed {
-  static void* operator new(std::size_t size) { return Frames::take(size); }
-  static void operator delete(void* memory, std::size_t size) noexcept { Frames::give(memory, size); }
+struct FrameAllocated {
+  static void* operator new(std::size_t size) { return FrameAllocator::allocate(size); }
+  static void operator delete(void* memory, std::size_t size) noexcept {
+    FrameAllocator::deallocate(memory, size);
+  }
 };
 
 }  // namespace cressrill::io
--- a/io/loop.h
+++ b/io/loop.h
@@ -20,7 +20,7 @@
 namespace cressrill::io {
 
 using Nanos = std::int64_t;  // on one monotonic clock
-constexpr Nanos kMicro = 1'000;
+constexpr Nanos kMicrosecond = 1'000;
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1'000'000'000;
 
@@ -42,39 +42,39 @@
 
 // What the scheduler keeps of one descriptor: who waits for it, until that wait ends, and whether the last call
 // was told to wait.
-struct Watch {
-  Waiter* reader{};
-  Waiter* writer{};
+struct Readiness {
+  Waiter* read_waiter{};
+  Waiter* write_waiter{};
   bool readable{true};
-  bool unread{};  // something was seen and left: a read finds it, though no word of it will come
+  bool left_unread{};  // something was seen and left: a read finds it, though no word of it will come
   bool writable{true};
-  bool hung{};             // the peer has ended or broken it: what is left to read comes without further word
-  bool stopped{};          // the read that waits, or the next, is to end
-  std::int64_t arrived{};  // when the kernel last told that something came
+  bool hung_up{};      // the peer has ended or broken it: what is left to read comes without further word
+  bool cancel_read{};  // the read that waits, or the next, is to end
+  std::int64_t last_readable_at{};  // when the kernel last told that something came
 };
 
 // A pause before a call is made again that failed for a lack on this machine.
-constexpr Nanos kLackPause = 5 * kMs;
+constexpr Nanos kResourceRetryDelay = 5 * kMs;
 
 class Loop {
  public:
-  enum class Time { real, handed };
+  enum class Clock { real, simulated };
 
-  explicit Loop(Time time = Time::real);
+  explicit Loop(Clock time = Clock::real);
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
   Nanos now() const { return now_; }
-  bool is_handed() const { return time_ == Time::handed; }
+  bool is_simulated() const { return clock_ == Clock::simulated; }
   // Reads the clock anew: now() is of the beginning of this round, and a limit that binds at a call counts from the call.
-  Nanos fresh_now() {
+  Nanos update_now() {
     read_clock();
     return now_;
   }
   // Nanoseconds since 1970 that the wall clock of this machine shows at now() == 0, read anew: each step of that clock
   // changes it.
-  Nanos wall_offset() const;
+  Nanos wall_clock_offset() const;
 
   // Runs until done() holds or nothing is left that could ever run. Returns whether done() held.
   bool run_until(const std::function<bool()>& done);
@@ -86,15 +86,15 @@
 
   // For a host that drives several schedulers in step, all on handed time: runs one round of what can run now and
   // looks once at the sockets; whether anything happened. Then the next timer (kNoTimer: none), and the jump there.
-  bool round();
+  bool run_once();
   static constexpr Nanos kNoTimer = TimerWheel<Timer>::kNone;
-  Nanos next_timer() { return timers_.next(); }
-  void jump(Nanos to) { now_ = to; }
+  Nanos next_timer_at() { return timers_.next_due(); }
+  void advance_to(Nanos to) { now_ = to; }
 
   void make_ready(Waiter& waiter) {
     if (!waiter.is_linked()) ready_.push_back(waiter);
   }
-  void set(Timer& timer, Nanos at, Waiter& waiter);
+  void set_timer(Timer& timer, Nanos at, Waiter& waiter);
 
   // co_await loop.sleep_until(t): resumes at t or, if t has passed, after those that are ready now.
   struct Sleep : Waiter {
@@ -103,7 +103,7 @@
     bool await_ready() const noexcept { return false; }
     void await_suspend(std::coroutine_handle<> h) {
       handle = h;
-      loop.set(timer, until, *this);
+      loop.set_timer(timer, until, *this);
     }
     void await_resume() const noexcept {}
     Loop& loop;
@@ -115,45 +115,45 @@
 
   // Faults that were survived: each call that failed for another reason than a peer's, and each task that an exception
   // ended. Told as they happen, first whether it is the first of its kind.
-  using CallObserver = std::function<void(Call call, int error, bool first)>;
-  using TaskObserver = std::function<void(const char* what)>;
-  void observe_faults(CallObserver calls, TaskObserver tasks) {
-    observe_call_ = std::move(calls), observe_task_ = std::move(tasks);
+  using CallFailureObserver = std::function<void(SystemCall call, int error, bool first)>;
+  using TaskFailureObserver = std::function<void(const char* what)>;
+  void observe_failures(CallFailureObserver calls, TaskFailureObserver tasks) {
+    observe_call_failure_ = std::move(calls), observe_task_failure_ = std::move(tasks);
   }
-  void failed(Call call, int error);
+  void report_call_failure(SystemCall call, int error);
   // An exception left a task that nobody waits for. It ends the program unless somebody observes it.
-  void task_failed(std::exception_ptr thrown) noexcept;
+  void report_task_failure(std::exception_ptr thrown) noexcept;
 
   // For Socket alone. Returns 0, or the errno with which the descriptor could not be registered.
-  int watch(int fd, Watch& watch);
-  void unwatch(int fd);
-  void moved(std::int64_t bytes) {
-    in_kernel_ += bytes;
-    if (bytes > 0) waits_left_ = kWaitsAfterWrite;
+  int register_descriptor(int fd, Readiness& watch);
+  void deregister_descriptor(int fd);
+  void count_transfer(std::int64_t bytes) {
+    bytes_in_transit_ += bytes;
+    if (bytes > 0) transit_polls_left_ = kTransitPolls;
   }
-  void called(Call call, std::uint64_t times = 1) { calls_.add(call, times); }
-  const Calls& calls() const { return calls_; }
+  void count_call(SystemCall call, std::uint64_t times = 1) { system_calls_.add(call, times); }
+  const SystemCallCounts& system_calls() const { return system_calls_; }
 
  private:
   bool run_ready();
-  bool poll(int timeout_ms);
-  bool fire_due();
+  bool poll_descriptors(int timeout_ms);
+  bool fire_due_timers();
   void read_clock();
-  bool settle();
+  bool poll_in_transit();
 
   int epoll_;
-  Time time_;
+  Clock clock_;
   Nanos now_{};
   bool stopped_{};
-  std::uint64_t order_{};
-  static constexpr int kWaitsAfterWrite = 8;  // of a millisecond each, on handed time
-  int waits_left_{};
-  std::int64_t in_kernel_{};  // bytes written less bytes read: with both ends here, what is on its way
-  std::size_t watched_{};
-  Calls calls_;
-  std::vector<std::pair<Call, int>> failed_before_;
-  CallObserver observe_call_;
-  TaskObserver observe_task_;
+  std::uint64_t next_timer_order_{};
+  static constexpr int kTransitPolls = 8;  // of a millisecond each, on handed time
+  int transit_polls_left_{};
+  std::int64_t bytes_in_transit_{};  // bytes written less bytes read: with both ends here, what is on its way
+  std::size_t registered_count_{};
+  SystemCallCounts system_calls_;
+  std::vector<std::pair<SystemCall, int>> reported_failures_;
+  CallFailureObserver observe_call_failure_;
+  TaskFailureObserver observe_task_failure_;
   Waiter round_end_;
   intrusive::list<Waiter, intrusive::constant_time_size<false>> ready_;
   TimerWheel<Timer> timers_;
@@ -164,9 +164,9 @@
 class Scope {
  public:
   // What an exception that leaves one of its tasks ends: that task alone, or the program, where nothing works without it.
-  enum class Failure { ends_task, ends_program };
+  enum class OnException { end_task, end_process };
 
-  explicit Scope(Loop& loop, Failure failure = Failure::ends_task) : loop_(loop), failure_(failure) {}
+  explicit Scope(Loop& loop, OnException failure = OnException::end_task) : loop_(loop), failure_(failure) {}
   ~Scope() { cancel(); }
   Scope(const Scope&) = delete;
   Scope& operator=(const Scope&) = delete;
@@ -179,7 +179,7 @@
 
  private:
   struct Root {
-    struct promise_type : Framed, intrusive::list_base_hook<AutoUnlink> {
+    struct promise_type : FrameAllocated, intrusive::list_base_hook<AutoUnlink> {
       Waiter start;
       Scope* scope{};
       Root get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
@@ -191,15 +191,15 @@
       };
       End final_suspend() noexcept { return {}; }
       void return_void() noexcept {}
-      void unhandled_exception() noexcept { scope->failed(std::current_exception()); }
+      void unhandled_exception() noexcept { scope->on_exception(std::current_exception()); }
     };
     std::coroutine_handle<promise_type> handle;
   };
   static Root root(Task<> task);
-  void failed(std::exception_ptr thrown) noexcept;
+  void on_exception(std::exception_ptr thrown) noexcept;
 
   Loop& loop_;
-  Failure failure_;
+  OnException failure_;
   intrusive::list<Root::promise_type, intrusive::constant_time_size<false>> roots_;
 };
 
@@ -243,7 +243,7 @@
 
 // Runs a task for so long at most; nothing comes back if the time ended first, and the task is cancelled.
 template <class T>
-Task<std::optional<T>> within(Loop& loop, Nanos deadline, Task<T> task) {
+Task<std::optional<T>> with_deadline(Loop& loop, Nanos deadline, Task<T> task) {
   std::optional<T> result;
   Signal done(loop);
   Scope scope(loop);
@@ -261,7 +261,7 @@
 
 // Waits for a signal until then at most.
 inline Task<> wait_until(Loop& loop, Signal& signal, Nanos deadline) {
-  co_await within(loop, deadline, [](Signal& s) -> Task<bool> {
+  co_await with_deadline(loop, deadline, [](Signal& s) -> Task<bool> {
     co_await s.wait();
     co_return true;
   }(signal));
--- a/io/signals.cpp
+++ b/io/signals.cpp
@@ -20,7 +20,7 @@
 }
 }  // namespace
 
-Signals::Signals(Loop& loop, std::initializer_list<int> numbers) : loop_(loop), numbers_(numbers) {
+SignalSet::SignalSet(Loop& loop, std::initializer_list<int> numbers) : loop_(loop), numbers_(numbers) {
   int pair[2];
   if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair) != 0)
     throw std::system_error(errno, std::generic_category(), "socketpair");
@@ -29,24 +29,24 @@
   for (const int n : numbers_) std::signal(n, tell);
 }
 
-Signals::~Signals() {
+SignalSet::~SignalSet() {
   for (const int n : numbers_) std::signal(n, SIG_DFL);
   ::close(told_);
 }
 
-Task<int> Signals::wait() {
+Task<int> SignalSet::wait() {
   std::array<char, 1> number{};
   // A read that fails tells of no signal.
-  while ((co_await heard_.read_some(number)).bytes == 0) co_await loop_.sleep_for(kLackPause);
+  while ((co_await heard_.read_some(number)).bytes == 0) co_await loop_.sleep_for(kResourceRetryDelay);
   co_return number[0];
 }
 
 StopSignal::StopSignal(Loop& loop) : signals_(loop, {SIGTERM, SIGINT}) {}
 Task<> StopSignal::wait() { co_await signals_.wait(); }
 
-void ignore_broken_pipes() { std::signal(SIGPIPE, SIG_IGN); }
+void ignore_sigpipe() { std::signal(SIGPIPE, SIG_IGN); }
 
-void run_until_told(Loop& loop) {
+void run_until_stop_signal(Loop& loop) {
   StopSignal stop(loop);
   Scope scope(loop);
   scope.spawn([](StopSignal& s, Loop& l) -> Task<> {
--- a/io/signals.h
+++ b/io/signals.h
@@ -8,10 +8,10 @@
 
 namespace cressrill::io {
 
-class Signals {
+class SignalSet {
  public:
-  Signals(Loop& loop, std::initializer_list<int> numbers);
-  ~Signals();
+  SignalSet(Loop& loop, std::initializer_list<int> numbers);
+  ~SignalSet();
   // The number of the next one that came.
   Task<int> wait();
 
@@ -28,13 +28,13 @@
   Task<> wait();
 
  private:
-  Signals signals_;
+  SignalSet signals_;
 };
 
 // A write to a pipe or socket whose reader has gone fails with EPIPE, and does not end the process.
-void ignore_broken_pipes();
+void ignore_sigpipe();
 
 // Runs until one of the signals comes.
-void run_until_told(Loop& loop);
+void run_until_stop_signal(Loop& loop);
 
 }  // namespace cressrill::io
--- a/io/socket.cpp
+++ b/io/socket.cpp
@@ -22,7 +22,7 @@
   sockaddr_in out{};
   out.sin_family = AF_INET;
   out.sin_port = htons(a.port);
-  out.sin_addr.s_addr = htonl(a.host);
+  out.sin_addr.s_addr = htonl(a.ip);
   return out;
 }
 int new_socket() {
@@ -49,18 +49,18 @@
 int pending_error(Loop& loop, int fd) {
   int pending = 0;
   socklen_t size = sizeof pending;
-  loop.called(Call::getsockopt);
+  loop.count_call(SystemCall::getsockopt);
   if (getsockopt(fd, SOL_SOCKET, SO_ERROR, &pending, &size) == 0) return pending;
   const int error = errno;
-  loop.failed(Call::getsockopt, error);
+  loop.report_call_failure(SystemCall::getsockopt, error);
   return error;
 }
 }  // namespace
 
-std::string Address::text() const {
+std::string Address::to_string() const {
   std::string out;
   for (int shift = 24; shift >= 0; shift -= 8)
-    out += std::to_string(host >> shift & 255) + (shift > 0 ? "." : ":");
+    out += std::to_string(ip >> shift & 255) + (shift > 0 ? "." : ":");
   return out + std::to_string(port);
 }
 
@@ -76,20 +76,20 @@
   return Address{ntohl(parsed.s_addr), port};
 }
 
-struct Socket::Ready : Waiter {
-  Ready(Watch& w, Side s) : watch(&w), side(s) {}
-  Ready(Ready&&) = delete;
-  ~Ready() {
-    if (watch != nullptr && slot() == this) slot() = nullptr;
+struct Socket::ReadyWait : Waiter {
+  ReadyWait(Readiness& w, Side s) : readiness(&w), side(s) {}
+  ReadyWait(ReadyWait&&) = delete;
+  ~ReadyWait() {
+    if (readiness != nullptr && slot() == this) slot() = nullptr;
   }
-  Waiter*& slot() { return side == Side::read ? watch->reader : watch->writer; }
-  bool await_ready() const noexcept { return side == Side::read ? watch->readable : watch->writable; }
+  Waiter*& slot() { return side == Side::read ? readiness->read_waiter : readiness->write_waiter; }
+  bool await_ready() const noexcept { return side == Side::read ? readiness->readable : readiness->writable; }
   void await_suspend(std::coroutine_handle<> h) {
     handle = h;
     slot() = this;
   }
   void await_resume() const noexcept {}
-  Watch* watch;  // null once the socket was closed under the wait
+  Readiness* readiness;  // null once the socket was closed under the wait
   Side side;
 };
 
@@ -102,7 +102,7 @@
 
 int Socket::adopt(Loop& loop, int fd, Socket& to) {
   auto state = std::unique_ptr<State>(new State{loop, fd, {}, 0, false, false, false});
-  const int error = loop.watch(fd, state->watch);
+  const int error = loop.register_descriptor(fd, state->readiness);
   if (error == 0) to.state_ = std::move(state);
   return error;
 }
@@ -119,89 +119,89 @@
   if (!state_) return;
   if (reset) {
     const linger hard{1, 0};
-    state_->loop.called(Call::setsockopt);
+    state_->loop.count_call(SystemCall::setsockopt);
     setsockopt(state_->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
   }
   // A coroutine that waits on this socket is woken and finds the error by its next call.
-  for (Waiter* w : {state_->watch.reader, state_->watch.writer})
-    if (w != nullptr) static_cast<Ready*>(w)->watch = nullptr, state_->loop.make_ready(*w);
-  state_->loop.unwatch(state_->fd);
-  state_->loop.called(Call::close);
+  for (Waiter* w : {state_->readiness.read_waiter, state_->readiness.write_waiter})
+    if (w != nullptr) static_cast<ReadyWait*>(w)->readiness = nullptr, state_->loop.make_ready(*w);
+  state_->loop.deregister_descriptor(state_->fd);
+  state_->loop.count_call(SystemCall::close);
   ::close(state_->fd);
   state_.reset();
 }
 
-Task<bool> Socket::again(Call call, int error) {
-  const Failure failure = classify(call, error);
-  if (failure != Failure::interrupted && failure != Failure::local_lack) co_return false;
-  state_->loop.failed(call, error);
-  if (failure == Failure::local_lack) co_await state_->loop.sleep_for(kLackPause);
+Task<bool> Socket::should_retry(SystemCall call, int error) {
+  const ErrorClass failure = classify_error(call, error);
+  if (failure != ErrorClass::interrupted && failure != ErrorClass::resource_shortage) co_return false;
+  state_->loop.report_call_failure(call, error);
+  if (failure == ErrorClass::resource_shortage) co_await state_->loop.sleep_for(kResourceRetryDelay);
   co_return true;
 }
 
 // A read that ends short mostly means that nothing is left, and the kernel tells of what comes (epoll(7)). It may also end
 // short by itself, and then nothing is told: so after a while it is looked once.
-Task<> Socket::becomes_readable() {
+Task<> Socket::wait_readable() {
   constexpr Nanos kLookAfter = 50 * kMs;
-  Ready ready(state_->watch, Side::read);
+  ReadyWait ready(state_->readiness, Side::read);
   Timer timer;
-  if (!state_->looked) state_->loop.set(timer, state_->loop.now() + kLookAfter, ready);
+  if (!state_->looked) state_->loop.set_timer(timer, state_->loop.now() + kLookAfter, ready);
   co_await ready;
-  if (!state_ || state_->watch.readable || state_->watch.stopped) co_return;
-  state_->looked = state_->looking = state_->watch.readable = true;
+  if (!state_ || state_->readiness.readable || state_->readiness.cancel_read) co_return;
+  state_->looked = state_->looking = state_->readiness.readable = true;
 }
 
-Task<Moved> Socket::read_some(std::span<char> to) {
+Task<IoResult> Socket::read_some(std::span<char> to) {
   for (;;) {
-    if (!state_) co_return Moved{0, EBADF};
-    if (std::exchange(state_->watch.stopped, false)) co_return Moved{0, ECANCELED};
-    if (!state_->watch.readable && !state_->watch.unread) {
-      co_await becomes_readable();
+    if (!state_) co_return IoResult{0, EBADF};
+    if (std::exchange(state_->readiness.cancel_read, false)) co_return IoResult{0, ECANCELED};
+    if (!state_->readiness.readable && !state_->readiness.left_unread) {
+      co_await wait_readable();
       continue;
     }
     // What was seen and left may be more than one read takes, and no further word of it comes.
-    if (std::exchange(state_->watch.unread, false)) state_->watch.readable = true;
-    state_->loop.called(Call::recv);
+    if (std::exchange(state_->readiness.left_unread, false)) state_->readiness.readable = true;
+    state_->loop.count_call(SystemCall::recv);
     const ssize_t n = ::recv(state_->fd, to.data(), to.size(), 0);
     if (n >= 0) {
-      state_->loop.moved(-n);
+      state_->loop.count_transfer(-n);
       state_->short_reads |= std::exchange(state_->looking, false) && n > 0;
       state_->looked = false;
       const bool may_be_all = static_cast<std::size_t>(n) < to.size() && !state_->short_reads;
-      if (may_be_all) state_->watch.readable = state_->watch.hung;
-      co_return Moved{static_cast<std::size_t>(n), 0};
+      if (may_be_all) state_->readiness.readable = state_->readiness.hung_up;
+      co_return IoResult{static_cast<std::size_t>(n), 0};
     }
     const int error = errno;
     if (error == EAGAIN) {
-      state_->watch.readable = state_->looking = false;
-    } else if (!co_await again(Call::recv, error)) {
-      co_return Moved{0, error};
+      state_->readiness.readable = state_->looking = false;
+    } else if (!co_await should_retry(SystemCall::recv, error)) {
+      co_return IoResult{0, error};
     }
   }
 }
 
-void Socket::limit_write_stall(Nanos span) {
+void Socket::set_write_stall_timeout(Nanos span) {
   if (state_) state_->write_stall = span;
 }
 
 // Whether the kernel takes more within the bound; also where the socket was closed meanwhile. It says so only once much of
 // its buffer is free: a peer that takes some of it, however slowly, does not stall.
-Task<bool> Socket::becomes_writable() {
+Task<bool> Socket::wait_writable() {
   constexpr Nanos kLooks = 4;  // in the time that a peer may stall
-  state_->watch.writable = false;
+  state_->readiness.writable = false;
   if (state_->write_stall == 0) {
-    co_await Ready(state_->watch, Side::write);
+    co_await ReadyWait(state_->readiness, Side::write);
     co_return true;
   }
-  int least = queued();
+  int least = unacknowledged_bytes();
   Nanos taken_at = state_->loop.now();
   for (;;) {
-    Ready ready(state_->watch, Side::write);
+    ReadyWait ready(state_->readiness, Side::write);
     Timer timer;
-    state_->loop.set(timer, state_->loop.now() + state_->write_stall / kLooks, ready);
+    state_->loop.set_timer(timer, state_->loop.now() + state_->write_stall / kLooks, ready);
     co_await ready;
-    if (!state_ || state_->watch.writable) co_return true;
-    if (const int left = queued(); left < least) {
+    if (!state_ || state_->readiness.writable) co_return true;
+    if (const int left = unacknowledged_bytes(); left < least) {
       least = left;
       taken_at = state_->loop.now();
     }
@@ -209,39 +209,39 @@
   }
 }
 
-int Socket::queued() const {
+int Socket::unacknowledged_bytes() const {
   int bytes = 0;
   return ::ioctl(state_->fd, SIOCOUTQ, &bytes) == 0 ? bytes : 0;
 }
 
-Task<Moved> Socket::write_all(std::string_view from) {
+Task<IoResult> Socket::write_all(std::string_view from) {
   std::size_t sent = 0;
   while (sent < from.size()) {
-    if (!state_) co_return Moved{sent, EBADF};
-    state_->loop.called(Call::send);
+    if (!state_) co_return IoResult{sent, EBADF};
+    state_->loop.count_call(SystemCall::send);
     const ssize_t n = ::send(state_->fd, from.data() + sent, from.size() - sent, MSG_NOSIGNAL);
     const int error = n < 0 ? errno : 0;
     if (n > 0) {
-      state_->loop.moved(n);
+      state_->loop.count_transfer(n);
       sent += static_cast<std::size_t>(n);
     } else if (error == EAGAIN) {
-      if (!co_await becomes_writable()) co_return Moved{sent, ETIMEDOUT};
-    } else if (!co_await again(Call::send, error == 0 ? ENOBUFS : error)) {
-      co_return Moved{sent, error};
+      if (!co_await wait_writable()) co_return IoResult{sent, ETIMEDOUT};
+    } else if (!co_await should_retry(SystemCall::send, error == 0 ? ENOBUFS : error)) {
+      co_return IoResult{sent, error};
     }
   }
-  co_return Moved{sent, 0};
+  co_return IoResult{sent, 0};
 }
 
-Task<Moved> Socket::write_all(std::span<const std::string_view> parts) {
+Task<IoResult> Socket::write_all(std::span<const std::string_view> parts) {
   constexpr std::size_t kMost = 16;
   std::size_t sent = 0;      // of all
   std::size_t first = 0;     // the part that is not whole yet,
   std::size_t of_first = 0;  // and how much of it is gone
   for (;;) {
     while (first < parts.size() && of_first == parts[first].size()) ++first, of_first = 0;
-    if (first == parts.size()) co_return Moved{sent, 0};
-    if (!state_) co_return Moved{sent, EBADF};
+    if (first == parts.size()) co_return IoResult{sent, 0};
+    if (!state_) co_return IoResult{sent, EBADF};
     std::array<iovec, kMost> list;
     std::size_t n = 0;
     for (std::size_t i = first; i < parts.size() && n < kMost; ++i) {
@@ -250,10 +250,10 @@
     }
     msghdr message{};
     message.msg_iov = list.data(), message.msg_iovlen = n;
-    state_->loop.called(Call::send);
+    state_->loop.count_call(SystemCall::send);
     const ssize_t took = ::sendmsg(state_->fd, &message, MSG_NOSIGNAL);
     if (took > 0) {
-      state_->loop.moved(took);
+      state_->loop.count_transfer(took);
       sent += static_cast<std::size_t>(took);
       for (auto left = static_cast<std::size_t>(took); left > 0;) {
         const std::size_t here = std::min(left, parts[first].size() - of_first);
@@ -264,107 +264,108 @@
     }
     const int error = took < 0 ? errno : 0;
     if (error == EAGAIN) {
-      if (!co_await becomes_writable()) co_return Moved{sent, ETIMEDOUT};
-    } else if (!co_await again(Call::send, error == 0 ? ENOBUFS : error)) {
-      co_return Moved{sent, error};
+      if (!co_await wait_writable()) co_return IoResult{sent, ETIMEDOUT};
+    } else if (!co_await should_retry(SystemCall::send, error == 0 ? ENOBUFS : error)) {
+      co_return IoResult{sent, error};
     }
   }
 }
 
-Task<> Socket::peer_gone() {
+Task<> Socket::wait_for_peer_close() {
   for (;;) {
     if (!state_) co_return;
-    if (!state_->watch.readable) {
-      co_await Ready(state_->watch, Side::read);
+    if (!state_->readiness.readable) {
+      co_await ReadyWait(state_->readiness, Side::read);
       continue;
     }
-    const ssize_t n = look();
+    const ssize_t n = peek();
     const int error = n < 0 ? errno : 0;
     if (n == 0) co_return;
     if (error != 0 && error != EAGAIN) {
-      if (state_->watch.hung) co_return;
-      if (!co_await again(Call::recv, error)) co_return;
+      if (state_->readiness.hung_up) co_return;
+      if (!co_await should_retry(SystemCall::recv, error)) co_return;
       continue;
     }
     // Unread bytes hide the peer's end from a look at the first of them; the kernel has told of it (EPOLLRDHUP).
-    if (n > 0 && state_->watch.hung) co_return;
-    state_->watch.readable = false, state_->watch.unread = n > 0;
+    if (n > 0 && state_->readiness.hung_up) co_return;
+    state_->readiness.readable = false, state_->readiness.left_unread = n > 0;
   }
 }
 
-bool Socket::peer_ended() const { return !state_ || state_->watch.hung; }
+bool Socket::peer_closed() const { return !state_ || state_->readiness.hung_up; }
 
-void Socket::stop_reading() {
+void Socket::cancel_read() {
   if (!state_) return;
-  state_->watch.stopped = true;
-  if (state_->watch.reader != nullptr) state_->loop.make_ready(*state_->watch.reader);
+  state_->readiness.cancel_read = true;
+  if (state_->readiness.read_waiter != nullptr) state_->loop.make_ready(*state_->readiness.read_waiter);
 }
 
-bool Socket::spoiled() const {
+bool Socket::is_stale() const {
   if (!state_) return true;
-  const ssize_t seen = look();
-  return seen >= 0 || classify(Call::recv, errno) != Failure::would_block;
+  const ssize_t seen = peek();
+  return seen >= 0 || classify_error(SystemCall::recv, errno) != ErrorClass::would_block;
 }
 
-Nanos Socket::last_received() const {
+Nanos Socket::last_received_at() const {
   if (!state_) return 0;
   Loop& loop = state_->loop;
-  const Nanos told = state_->watch.arrived;
-  if (loop.is_handed()) return told;
+  const Nanos told = state_->readiness.last_readable_at;
+  if (loop.is_simulated()) return told;
   tcp_info info{};
   socklen_t size = sizeof info;
-  loop.called(Call::getsockopt);
+  loop.count_call(SystemCall::getsockopt);
   if (getsockopt(state_->fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return told;
   // Of whole milliseconds, and not yet counted where nothing has come.
   return std::min(told, loop.now() - static_cast<Nanos>(info.tcpi_last_data_recv) * kMs);
 }
 
-bool Socket::has_unread() const { return state_ && look() > 0; }
+bool Socket::has_unread_data() const { return state_ && peek() > 0; }
 
-ssize_t Socket::look() const {
+ssize_t Socket::peek() const {
   char one;
   for (;;) {
-    state_->loop.called(Call::recv);
+    state_->loop.count_call(SystemCall::recv);
     const ssize_t n = ::recv(state_->fd, &one, 1, MSG_PEEK);
     if (n >= 0 || errno != EINTR) return n;
-    state_->loop.failed(Call::recv, EINTR);
+    state_->loop.report_call_failure(SystemCall::recv, EINTR);
   }
 }
 
-Task<Moved> connect(Loop& loop, Address address, Socket& to) {
-  loop.called(Call::socket);
+Task<IoResult> connect(Loop& loop, Address address, Socket& to) {
+  loop.count_call(SystemCall::socket);
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) {
     const int error = errno;
-    loop.failed(Call::socket, error);
-    co_return Moved{0, error};
+    loop.report_call_failure(SystemCall::socket, error);
+    co_return IoResult{0, error};
   }
-  loop.called(Call::setsockopt, no_delay(fd) + keep_asking(fd));
-  loop.called(Call::connect);
+  loop.count_call(SystemCall::setsockopt, no_delay(fd) + keep_asking(fd));
+  loop.count_call(SystemCall::connect);
   const sockaddr_in target = raw(address);
   const int begun = ::connect(fd, reinterpret_cast<const sockaddr*>(&target), sizeof target);
   const int error = begun == 0 ? 0 : errno;
   // One that was interrupted goes on by itself, as one that is under way: connect(2).
-  const bool under_way = error != 0 && classify(Call::connect, error) == Failure::would_block;
+  const bool under_way = error != 0 && classify_error(SystemCall::connect, error) == ErrorClass::would_block;
   if (error != 0 && !under_way) {
-    if (classify(Call::connect, error) == Failure::local_lack) loop.failed(Call::connect, error);
+    if (classify_error(SystemCall::connect, error) == ErrorClass::resource_shortage)
+      loop.report_call_failure(SystemCall::connect, error);
     ::close(fd);
-    co_return Moved{0, error};
+    co_return IoResult{0, error};
   }
-  if (error == EINTR) loop.failed(Call::connect, error);
+  if (error == EINTR) loop.report_call_failure(SystemCall::connect, error);
   Socket socket;
   if (const int lack = Socket::adopt(loop, fd, socket); lack != 0) {
     ::close(fd);
-    co_return Moved{0, lack};
+    co_return IoResult{0, lack};
   }
   if (under_way) {
-    socket.state_->watch.writable = false;
-    co_await Socket::Ready(socket.state_->watch, Socket::Side::write);
-    if (!socket.state_) co_return Moved{0, EBADF};
-    if (const int failed = pending_error(loop, fd); failed != 0) co_return Moved{0, failed};
+    socket.state_->readiness.writable = false;
+    co_await Socket::ReadyWait(socket.state_->readiness, Socket::Side::write);
+    if (!socket.state_) co_return IoResult{0, EBADF};
+    if (const int failed = pending_error(loop, fd); failed != 0) co_return IoResult{0, failed};
   }
   to = std::move(socket);
-  co_return Moved{0, 0};
+  co_return IoResult{0, 0};
 }
 
 Listener::Listener(Loop& loop, Address address, int backlog) : loop_(loop), address_(address) {
@@ -375,7 +376,7 @@
   const sockaddr_in wanted = raw(address);
   if (::bind(fd, reinterpret_cast<const sockaddr*>(&wanted), sizeof wanted) != 0 ||
       ::listen(fd, backlog) != 0)
-    throw std::system_error(errno, std::generic_category(), "listen on " + address.text());
+    throw std::system_error(errno, std::generic_category(), "listen on " + address.to_string());
   sockaddr_in taken{};
   socklen_t size = sizeof taken;
   getsockname(fd, reinterpret_cast<sockaddr*>(&taken), &size);
@@ -391,14 +392,14 @@
   int failures = 0;
   while (socket_.is_open()) {
     Socket accepted;
-    const int error = accept_now(accepted);
+    const int error = try_accept(accepted);
     if (error == 0) co_return accepted;
     if (error != EAGAIN) {
-      co_await wait_after(error, failures);
+      co_await back_off(error, failures);
       continue;
     }
-    socket_.state_->watch.readable = false;
-    co_await Socket::Ready(socket_.state_->watch, Socket::Side::read);
+    socket_.state_->readiness.readable = false;
+    co_await Socket::ReadyWait(socket_.state_->readiness, Socket::Side::read);
   }
   co_return Socket{};
 }
@@ -407,29 +408,31 @@
   int failures = 0;
   while (socket_.is_open()) {
     Socket accepted;
-    const int error = accept_now(accepted);
+    const int error = try_accept(accepted);
     if (error == 0) co_return accepted;
     if (error == EAGAIN) break;
-    co_await wait_after(error, failures);
+    co_await back_off(error, failures);
   }
   co_return Socket{};
 }
 
 // Guards against a loop that stands still for all connections while accept fails: a lack of this machine passes in time,
 // and a queue full of broken connections is gone through a few at a time.
-Task<> Listener::wait_after(int error, int& failures) {
+Task<> Listener::back_off(int error, int& failures) {
   constexpr int kAtOnce = 4;
-  loop_.failed(Call::accept4, error);
-  if (classify(Call::accept4, error) != Failure::local_lack && ++failures % kAtOnce != 0) co_return;
-  co_await loop_.sleep_for(kLackPause);
+  loop_.report_call_failure(SystemCall::accept4, error);
+  if (classify_error(SystemCall::accept4, error) != ErrorClass::resource_shortage &&
+      ++failures % kAtOnce != 0)
+    co_return;
+  co_await loop_.sleep_for(kResourceRetryDelay);
 }
 
-int Listener::accept_now(Socket& to) {
+int Listener::try_accept(Socket& to) {
   if (unregistered_ < 0) {
-    loop_.called(Call::accept4);
+    loop_.count_call(SystemCall::accept4);
     unregistered_ = ::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (unregistered_ < 0) return errno;
-    loop_.called(Call::setsockopt, no_delay(unregistered_));
+    loop_.count_call(SystemCall::setsockopt, no_delay(unregistered_));
   }
   // One that cannot be registered is kept: its client may have sent a request.
   const int error = Socket::adopt(loop_, unregistered_, to);
@@ -437,7 +440,7 @@
   return error;
 }
 
-void Listener::backlog(int n) {
+void Listener::set_backlog(int n) {
   if (socket_.is_open()) ::listen(socket_.fd(), n);
 }
 
--- a/io/socket.h
+++ b/io/socket.h
@@ -17,14 +17,14 @@
 
 // An IPv4 address and port, as "127.0.0.1:8080".
 struct Address {
-  std::uint32_t host{};  // host byte order
+  std::uint32_t ip{};  // host byte order
   std::uint16_t port{};
-  std::string text() const;
+  std::string to_string() const;
   friend bool operator==(const Address&, const Address&) = default;
 };
 std::optional<Address> parse_address(std::string_view text);
 
-struct Moved {
+struct IoResult {
   std::size_t bytes{};  // read: 0 without an error means that the peer has ended
   int error{};          // errno, 0 for none
   bool ok() const { return error == 0; }
@@ -46,56 +46,56 @@
   // Closes at once. With reset, the peer sees a broken connection (RST) instead of an ordered end (FIN).
   void close(bool reset = false);
 
-  Task<Moved> read_some(std::span<char> to);
+  Task<IoResult> read_some(std::span<char> to);
   // All of it, or the error; bytes tells how much the kernel took. Several texts go in as few calls as can be
   // (sendmsg(2)); they stay the caller's until it is done.
-  Task<Moved> write_all(std::string_view from);
-  Task<Moved> write_all(std::span<const std::string_view> parts);
+  Task<IoResult> write_all(std::string_view from);
+  Task<IoResult> write_all(std::span<const std::string_view> parts);
   // From now on a write of which the peer takes nothing for so long ends with ETIMEDOUT. 0, as at first: no such bound.
-  void limit_write_stall(Nanos span);
+  void set_write_stall_timeout(Nanos span);
   // Waits until the peer ends or breaks the connection; what it sends meanwhile is left unread.
-  Task<> peer_gone();
+  Task<> wait_for_peer_close();
   // Whether it has, as far as the kernel has told.
-  bool peer_ended() const;
+  bool peer_closed() const;
   // The read that waits, or else the next one, ends with ECANCELED; the socket stays as it is.
-  void stop_reading();
+  void cancel_read();
   // Whether the peer has closed or sent something unasked: such a kept connection is of no use.
-  bool spoiled() const;
+  bool is_stale() const;
   // Whether bytes have come that nobody has read. Closing now would reset the connection.
-  bool has_unread() const;
+  bool has_unread_data() const;
   // When the scheduler last heard that something came.
-  Nanos arrived() const { return state_ ? state_->watch.arrived : 0; }
+  Nanos last_readable_at() const { return state_ ? state_->readiness.last_readable_at : 0; }
   // When the last bytes came, as far as the kernel tells: before the scheduler heard of them, where the process was held up
   // or the connection stood in its listener's queue.
-  Nanos last_received() const;
+  Nanos last_received_at() const;
 
  private:
-  friend Task<Moved> connect(Loop&, Address, Socket&);
+  friend Task<IoResult> connect(Loop&, Address, Socket&);
   friend class Listener;
   enum class Side { read, write };
-  struct Ready;
+  struct ReadyWait;
   struct State {
     Loop& loop;
     int fd;
-    Watch watch;
+    Readiness readiness;
     Nanos write_stall{};
     bool looked{};       // since its last read, it was looked whether more is there without word of it
     bool looking{};      // the next read is that look
     bool short_reads{};  // reads of this socket end short though more is there
   };
-  Task<> becomes_readable();
-  Task<bool> becomes_writable();
+  Task<> wait_readable();
+  Task<bool> wait_writable();
   // Whether the call that failed is to be made again: waits first as long as that takes.
-  Task<bool> again(Call call, int error);
+  Task<bool> should_retry(SystemCall call, int error);
   // Bytes that were written and that the peer has not acknowledged, or 0 where the kernel does not tell.
-  int queued() const;
+  int unacknowledged_bytes() const;
   // Looks at the first unread byte and leaves it: recv(2)'s answer.
-  ssize_t look() const;
+  ssize_t peek() const;
   std::unique_ptr<State> state_;
 };
 
 // bytes is 0; error is ECONNREFUSED, ETIMEDOUT and the like.
-Task<Moved> connect(Loop& loop, Address address, Socket& to);
+Task<IoResult> connect(Loop& loop, Address address, Socket& to);
 
 class Listener {
  public:
@@ -112,13 +112,13 @@
   Task<Socket> accept_queued();
   void close();
   bool is_open() const { return socket_.is_open(); }
-  void backlog(int n);
+  void set_backlog(int n);
 
   // One that waits in the queue, or errno.
-  int accept_now(Socket& to);
+  int try_accept(Socket& to);
 
  private:
-  Task<> wait_after(int error, int& failures);
+  Task<> back_off(int error, int& failures);
 
   Loop& loop_;
   Socket socket_;
--- a/io/task.h
+++ b/io/task.h
@@ -16,7 +16,7 @@
 
 namespace detail {
 
-struct PromiseBase : Framed {
+struct PromiseBase : FrameAllocated {
   std::coroutine_handle<> caller;
   std::exception_ptr thrown;
 
--- a/io/timer_wheel.h
+++ b/io/timer_wheel.h
@@ -27,12 +27,12 @@
   }
 
   // The next timer's time, exactly; kNone where there is none.
-  std::int64_t next() {
+  std::int64_t next_due() {
     const List* slot = due_.empty() ? first() : &due_;
     return slot == nullptr ? kNone : least(*slot);
   }
   // A time not after the next timer's and past the last firing: there is nothing to do before it.
-  std::int64_t next_at_least() {
+  std::int64_t next_due_lower_bound() {
     if (!due_.empty()) return least(due_);
     if (first() == nullptr) return kNone;
     return static_cast<std::int64_t>(first_tick_ << kTickBits);
--- a/profile/profile.cpp
+++ b/profile/profile.cpp
@@ -43,7 +43,7 @@
   }
   std::string word(const std::string& key) const {
     if (auto value = find(key)) return *value;
-    throw ProfileError("settings: '" + key + "' is missing");
+    throw SettingsError("settings: '" + key + "' is missing");
   }
   double number(const std::string& key) const { return parse(key, word(key)); }
   double number_or_zero(const std::string& key) const {
@@ -63,7 +63,7 @@
     char* end = nullptr;
     const double number = std::strtod(value.c_str(), &end);
     if (value.empty() || *end != '\0' || !std::isfinite(number))
-      throw ProfileError("settings: '" + key + "' is '" + value + "', not a number");
+      throw SettingsError("settings: '" + key + "' is '" + value + "', not a number");
     return number;
   }
   Pairs pairs_;
@@ -74,13 +74,13 @@
   const std::string word = from.word(key);
   const auto it = choices.find(word);
   if (it == choices.end())
-    throw ProfileError("settings: '" + key + "' is '" + word + "', which is not known");
+    throw SettingsError("settings: '" + key + "' is '" + word + "', which is not known");
   return it->second;
 }
 
 double at(const std::vector<double>& values, std::size_t i) { return i < values.size() ? values[i] : 0; }
 
-void decode_types(const Reader& from, Deployment& to) {
+void decode_types(const Reader& from, PolicySettings& to) {
   const std::vector<double> per_1000 = from.numbers("familyInfo.aimUsPer1000PromptTokens");
   const auto count = static_cast<std::size_t>(from.number("services.count"));
   for (std::size_t i = 0; i < count; ++i) {
@@ -94,37 +94,37 @@
                                  {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
     type.window = nanos(from.number_or_zero(base + "windowMs"));
     type.slo = nanos(from.number(base + "goalTimeMs"));
-    type.slo_per_1000 = nanos(at(per_1000, i) / 1000.0);
+    type.slo_per_1000_tokens = nanos(at(per_1000, i) / 1000.0);
     type.utility = from.number(base + "worth");
     to.types.push_back(type);
   }
 }
 
-void decode_kinds(const Reader& from, Deployment& to) {
+void decode_kinds(const Reader& from, PolicySettings& to) {
   const std::vector<double> memory = from.numbers("familyInfo.memoryTokens");
   const std::vector<std::string> roles = items(from.word("familyInfo.dutyByKind"));
   for (std::size_t i = 0; i < roles.size(); ++i) {
     WorkerKind kind;
     if (roles[i] == "read") {
-      kind.role = Role::reader;
+      kind.role = Role::prefill;
     } else if (roles[i] == "write") {
-      kind.role = Role::writer;
+      kind.role = Role::decode;
     } else if (roles[i] == "both") {
       kind.role = Role::mixed;
     } else {
-      throw ProfileError("settings: 'familyInfo.dutyByKind' has '" + roles[i] + "', which is not known");
+      throw SettingsError("settings: 'familyInfo.dutyByKind' has '" + roles[i] + "', which is not known");
     }
     kind.memory_tokens = at(memory, i);
     to.kinds.push_back(kind);
   }
 }
 
-void decode_report(const Reader& from, Profile& to) {
+void decode_report(const Reader& from, DeploymentSettings& to) {
   const std::vector<std::string> columns = items(from.find("stats.columns").value_or(""));
   const bool x0_is_memory = from.find("familyInfo.reportX0") == "share_of_memory_that_is_held";
-  to.columns = columns;
+  to.report_columns = columns;
   for (std::size_t i = 0; i < columns.size(); ++i) {
-    if (columns[i] == "concurrent") to.sequences_column = static_cast<int>(i);
+    if (columns[i] == "concurrent") to.requests_column = static_cast<int>(i);
     if (columns[i] == "x0" && x0_is_memory) to.memory_column = static_cast<int>(i);
   }
 }
@@ -134,41 +134,42 @@
 Nanos nanos(double ms) { return std::llround(ms * 1e6); }
 double millis(Nanos ns) { return static_cast<double>(ns) / 1e6; }
 
-Profile decode_profile(std::string_view text) {
+DeploymentSettings decode_settings(std::string_view text) {
   const Reader from(text);
-  Profile to;
-  Deployment& d = to.deployment;
+  DeploymentSettings to;
+  PolicySettings& d = to.settings;
   decode_types(from, d);
   for (std::size_t i = 0; i < d.types.size(); ++i)
-    to.types.push_back(from.find("services." + std::to_string(i) + ".name").value_or(std::to_string(i)));
+    to.type_names.push_back(from.find("services." + std::to_string(i) + ".name").value_or(std::to_string(i)));
   decode_kinds(from, d);
   decode_report(from, to);
   const auto tenants = static_cast<std::size_t>(from.number_or_zero("tenants.count"));
   for (std::size_t i = 0; i < tenants; ++i) {
     d.tenant_rates.push_back(from.number("tenants." + std::to_string(i) + ".allowancePerS"));
-    to.tenants.push_back(from.find("tenants." + std::to_string(i) + ".name").value_or(std::to_string(i)));
+    to.tenant_names.push_back(
+        from.find("tenants." + std::to_string(i) + ".name").value_or(std::to_string(i)));
   }
-  to.kinds = items(from.find("models").value_or(""));
-  to.zones = items(from.find("azs").value_or(""));
+  to.kind_names = items(from.find("models").value_or(""));
+  to.zone_names = items(from.find("azs").value_or(""));
   to.dial_timeout = nanos(from.number_or_zero("caps.dialTimeoutMs"));
-  to.idle_close = nanos(from.number_or_zero("caps.connIdleMs"));
+  to.worker_idle_timeout = nanos(from.number_or_zero("caps.connIdleMs"));
   to.drain_grace = nanos(from.number_or_zero("obligations.stopSendingWithinMs"));
   d.routers = static_cast<int>(from.number("instances"));
   d.zone = static_cast<int>(from.number_or_zero("locality"));
   d.tick = nanos(from.number("granularityMs"));
-  d.attempts_cap = static_cast<int>(from.number("caps.attemptsCap"));
-  d.cancelling = from.flag("caps.cancelling");
-  d.second_copies = from.flag("caps.parallelTries");
-  d.retry_after = from.flag("caps.retryAfter");
+  d.max_attempts = static_cast<int>(from.number("caps.attemptsCap"));
+  d.can_cancel = from.flag("caps.cancelling");
+  d.allow_parallel_attempts = from.flag("caps.parallelTries");
+  d.send_retry_after = from.flag("caps.retryAfter");
   d.max_retry_after = nanos(from.number_or_zero("caps.maxRetryAfterMs"));
-  d.asks_for_list = from.find("discovery") == "subscribe";
-  d.must_ask_in = nanos(from.number_or_zero("obligations.mustAskInMs"));
+  d.needs_subscription = from.find("discovery") == "subscribe";
+  d.subscription_lifetime = nanos(from.number_or_zero("obligations.mustAskInMs"));
   d.cross_zone_price = from.number_or_zero("prices.crossZone");
-  d.pin_limit = nanos(from.number("familyInfo.pinLimitMs"));
-  d.cold_from = from.number("obligations.coldFrom");
+  d.kv_hold_limit = nanos(from.number("familyInfo.pinLimitMs"));
+  d.cold_start_capacity = from.number("obligations.coldFrom");
   d.ramp_time = nanos(from.number("obligations.rampTimeMs"));
-  d.fall_multiple = from.number("obligations.fallMultiple");
-  d.fall_span = nanos(from.number("obligations.fallMs"));
+  d.overload_factor = from.number("obligations.fallMultiple");
+  d.overload_window = nanos(from.number("obligations.fallMs"));
   return to;
 }
 
--- a/profile/profile.h
+++ b/profile/profile.h
@@ -11,26 +11,26 @@
 
 namespace cressrill::profile {
 
-struct ProfileError : std::runtime_error {
+struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-struct Profile {
-  Deployment deployment;
-  std::vector<std::string> types;  // names, by index; blanks and commas in them are _
-  std::vector<std::string> tenants;
-  std::vector<std::string> kinds;
-  std::vector<std::string> zones;
-  std::vector<std::string> columns;  // of a load report
-  int sequences_column = -1;         // place in a load report; negative where it is not reported
+struct DeploymentSettings {
+  PolicySettings settings;
+  std::vector<std::string> type_names;  // names, by index; blanks and commas in them are _
+  std::vector<std::string> tenant_names;
+  std::vector<std::string> kind_names;
+  std::vector<std::string> zone_names;
+  std::vector<std::string> report_columns;  // of a load report
+  int requests_column = -1;                 // place in a load report; negative where it is not reported
   int memory_column = -1;
   Nanos dial_timeout{};
-  Nanos idle_close{};  // a connection idle so long is closed by its worker
+  Nanos worker_idle_timeout{};  // a connection idle so long is closed by its worker
   Nanos drain_grace{};
 };
 
-// Throws ProfileError, which names the key.
-Profile decode_profile(std::string_view text);
+// Throws SettingsError, which names the key.
+DeploymentSettings decode_settings(std::string_view text);
 Nanos nanos(double ms);
 double millis(Nanos ns);
 
--- a/programs/baseline.cpp
+++ b/programs/baseline.cpp
@@ -11,11 +11,11 @@
   app.add_option("--config", file, "a router's TOML file")->required();
   app.add_option("--policy", policy, "random or fewest")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
-  core::FileFaults faults;
-  const std::optional<core::Station> station = core::read_station(file, faults);
+  core::ConfigErrors faults;
+  const std::optional<core::RouterConfig> station = core::read_router_config(file, faults);
   if (print_faults(faults)) return kUsage;
   return guarded("cressrill-baseline", [&] {
-    return serve(*station, [&](const Deployment& d, std::uint64_t seed, Nanos, Actions& actions) {
+    return serve(*station, [&](const PolicySettings& d, std::uint64_t seed, Nanos, Actions& actions) {
       return rig::make_baseline(policy, d, seed, actions);
     });
   });
--- a/programs/command_line.h
+++ b/programs/command_line.h
@@ -25,8 +25,8 @@
   return std::nullopt;
 }
 
-inline bool print_faults(const core::FileFaults& faults) {
-  for (const core::FileFault& f : faults) std::cerr << f.text() << '\n';
+inline bool print_faults(const core::ConfigErrors& faults) {
+  for (const core::ConfigError& f : faults) std::cerr << f.to_string() << '\n';
   return !faults.empty();
 }
 
--- a/programs/day.cpp
+++ b/programs/day.cpp
@@ -24,7 +24,7 @@
   CLI::App* check = app.add_subcommand("check", "only reads the script and prints what is wrong with it");
   check->add_option("DAY", script, "the day's TOML file")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
-  core::FileFaults faults;
+  core::ConfigErrors faults;
   auto day = rig::read_day(script, faults);
   if (print_faults(faults) || !day) return kUsage;
   if (check->parsed()) {
--- a/programs/engine.cpp
+++ b/programs/engine.cpp
@@ -10,7 +10,7 @@
 
 // POST /fault {"engine": name, "kind": ..., "size": ..., "for_ms": ..., "to": ...}
 io::Task<> control(std::vector<std::unique_ptr<rig::Engine>>& engines, http::Request& request,
-                   http::Answer& answer) {
+                   http::ResponseWriter& answer) {
   std::string wrong;
   try {
     const auto body = nlohmann::json::parse(request.body);
@@ -24,13 +24,13 @@
   } catch (const std::exception& e) {
     wrong = e.what();
   }
-  co_await answer.whole(wrong.empty() ? 200 : 400, "content-type: text/plain\r\n", wrong);
+  co_await answer.respond(wrong.empty() ? 200 : 400, "content-type: text/plain\r\n", wrong);
 }
 
 // Tells the roster what starts and stops; the roster is late by itself.
 io::Task<> tell_roster(std::shared_ptr<http::Pool> pool, std::string roster, core::ListedWorker worker) {
-  const std::string body = core::worker_list_text({0, false, {std::move(worker)}});
-  co_await http::exchange(pool, http::request_text("POST", "/v1/workers", roster, "", body));
+  const std::string body = core::serialize_worker_list({0, false, {std::move(worker)}});
+  co_await http::exchange(pool, http::format_request("POST", "/v1/workers", roster, "", body));
 }
 
 int run(const std::vector<rig::EngineMake>& makes, const std::string& record_path,
@@ -46,8 +46,8 @@
     rig::Engine* e = engines.back().get();
     const auto tell = [&loop, &scope, pool, roster, e](bool up) {
       if (!pool) return;
-      core::ListedWorker w = rig::listed(*e, up ? Standing::ready : Standing::gone);
-      if (e->started() > 0) w.started = e->started() + loop.wall_offset();
+      core::ListedWorker w = rig::listed(*e, up ? WorkerStatus::ready : WorkerStatus::gone);
+      if (e->started() > 0) w.started_at = e->started() + loop.wall_clock_offset();
       scope.spawn(tell_roster(pool, roster, std::move(w)));
     };
     e->on_change(tell);
@@ -57,9 +57,9 @@
   if (!control_at.empty())
     server = std::make_unique<http::Server>(
         loop, *io::parse_address(control_at),
-        [&](http::Request& rq, http::Answer& a) { return control(engines, rq, a); });
+        [&](http::Request& rq, http::ResponseWriter& a) { return control(engines, rq, a); });
   std::cerr << "cressrill-engine: " << engines.size() << " engines\n";
-  io::run_until_told(loop);
+  io::run_until_stop_signal(loop);
   return kFine;
 }
 
@@ -73,15 +73,15 @@
   app.add_option("--control", control_at, "address that takes faults");
   app.add_option("--roster", roster, "address of the roster that is told what runs");
   if (const auto code = read_command_line(app, argc, argv)) return *code;
-  core::FileFaults faults;
-  const auto text = core::read_toml(file, faults);
+  core::ConfigErrors faults;
+  const auto text = core::parse_toml_file(file, faults);
   std::vector<rig::EngineMake> makes;
   if (text) {
-    core::Table root(*text, "", file, faults);
+    core::TomlTable root(*text, "", file, faults);
     makes = rig::read_engines(root);
-    root.finish();
+    root.report_unknown_keys();
     for (const rig::EngineMake& m : makes)
-      if (!io::parse_address(m.address)) root.fault("engine", "'" + m.name + "' has no address and port");
+      if (!io::parse_address(m.address)) root.add_error("engine", "'" + m.name + "' has no address and port");
   }
   for (const auto* a : {&control_at, &roster})
     if (!a->empty() && !io::parse_address(*a))
--- a/programs/measure.cpp
+++ b/programs/measure.cpp
@@ -47,7 +47,7 @@
     std::ofstream file(folder + "/" + name + "-engines.toml");
     const auto add = [&](const char* kind, const char* role, int count) {
       for (int i = 0; i < count; ++i) {
-        addresses.push_back(at(net, 1 + addresses.size(), 19200).text());
+        addresses.push_back(at(net, 1 + addresses.size(), 19200).to_string());
         file << fmt::format(
             "[[engine]]\nname = \"{}-{}\"\naddress = \"{}\"\nkind = \"{}\"\nrole = \"{}\"\nzone = \"a\"\n"
             "cell = \"c\"\nslots = 20000\nqueue = 20000\nmemory_tokens = 1e9\nread_per_s = 1e9\n"
@@ -59,10 +59,10 @@
     file.close();
     std::ofstream(folder + "/" + name + "-router.toml") << router_file(name, port, roster_port, 1e9);
     const std::string log = folder + "/" + name + ".log";
-    roster = rig::Process({here + "roster", "--listen", at(20, 9, roster_port).text()}, log);
+    roster = rig::Process({here + "roster", "--listen", at(20, 9, roster_port).to_string()}, log);
     ::usleep(200'000);
     engines = rig::Process({here + "engine", "--config", folder + "/" + name + "-engines.toml", "--roster",
-                            at(20, 9, roster_port).text()},
+                            at(20, 9, roster_port).to_string()},
                            log);
     std::vector<std::string> command{here + (policy.empty() ? "router" : "baseline")};
     if (!policy.empty()) command.insert(command.end(), {"--policy", policy});
--- a/programs/relay.cpp
+++ b/programs/relay.cpp
@@ -11,16 +11,16 @@
 io::Task<> pump(io::Socket& from, io::Socket& to) {
   std::array<char, 16 * 1024> buffer;
   for (;;) {
-    const io::Moved got = co_await from.read_some(buffer);
+    const io::IoResult got = co_await from.read_some(buffer);
     if (!got.ok() || got.bytes == 0) break;
-    const io::Moved put = co_await to.write_all(std::string_view(buffer.data(), got.bytes));
+    const io::IoResult put = co_await to.write_all(std::string_view(buffer.data(), got.bytes));
     if (!put.ok()) break;
   }
 }
 
 io::Task<> carry(io::Loop& loop, io::Socket client, io::Address engine) {
   io::Socket peer;
-  const io::Moved connected = co_await io::connect(loop, engine, peer);
+  const io::IoResult connected = co_await io::connect(loop, engine, peer);
   if (!connected.ok()) co_return;
   io::Signal over(loop);
   io::Scope both(loop);
@@ -64,7 +64,7 @@
     io::Listener listener(loop, *address);
     io::Scope scope(loop);
     scope.spawn(accept(loop, listener, engines, scope));
-    io::run_until_told(loop);
+    io::run_until_stop_signal(loop);
     return kFine;
   });
 }
--- a/programs/roster.cpp
+++ b/programs/roster.cpp
@@ -24,7 +24,7 @@
     rig::Recorder recorder(loop, record.empty() ? "/dev/null" : record);
     rig::Roster roster(loop, *address, recorder);
     roster.late_by(static_cast<io::Nanos>(late_ms * 1e6));
-    io::run_until_told(loop);
+    io::run_until_stop_signal(loop);
     return kFine;
   });
 }
--- a/programs/router.cpp
+++ b/programs/router.cpp
@@ -38,16 +38,16 @@
     std::cerr << "cressrill-router: --config or --platform is needed\n";
     return kUsage;
   }
-  core::FileFaults faults;
-  const std::optional<core::Station> station = core::read_station(file, faults);
+  core::ConfigErrors faults;
+  const std::optional<core::RouterConfig> station = core::read_router_config(file, faults);
   if (print_faults(faults)) return kUsage;
   if (check) {
-    if (std::ifstream list(station->last_list); !station->last_list.empty() && list) {
+    if (std::ifstream list(station->last_list_path); !station->last_list_path.empty() && list) {
       const std::string text((std::istreambuf_iterator<char>(list)), {});
       try {
-        faults = core::compare_with_list(*station, core::read_worker_list(text), station->last_list);
+        faults = core::check_worker_list(*station, core::parse_worker_list(text), station->last_list_path);
       } catch (const std::invalid_argument& e) {
-        faults.push_back({station->last_list, 0, 0, e.what()});
+        faults.push_back({station->last_list_path, 0, 0, e.what()});
       }
       if (print_faults(faults)) return kUsage;
     }
--- a/programs/soak.cpp
+++ b/programs/soak.cpp
@@ -25,12 +25,12 @@
   io::Loop loop;
   rig::Recorder recorder(loop, record);
   soak::SoakWorker worker(loop, options, recorder);
-  io::run_until_told(loop);
+  io::run_until_stop_signal(loop);
   return kFine;
 }
 
 // SIGUSR1: the open connections fall silent. SIGUSR2: all do, until SIGHUP.
-io::Task<> steer(io::Loop& loop, io::Signals& signals, soak::Proxy& proxy) {
+io::Task<> steer(io::Loop& loop, io::SignalSet& signals, soak::Proxy& proxy) {
   for (;;) {
     const int number = co_await signals.wait();
     if (number == SIGTERM || number == SIGINT) break;
@@ -43,10 +43,10 @@
 
 int run_proxy(const std::string& listen, const std::string& target, std::uint64_t seed) {
   io::Loop loop;
-  io::ignore_broken_pipes();
+  io::ignore_sigpipe();
   soak::Proxy proxy(loop, address_of(listen), address_of(target), seed);
-  io::Signals signals(loop, {SIGTERM, SIGINT, SIGUSR1, SIGUSR2, SIGHUP});
-  io::Scope scope(loop, io::Scope::Failure::ends_program);
+  io::SignalSet signals(loop, {SIGTERM, SIGINT, SIGUSR1, SIGUSR2, SIGHUP});
+  io::Scope scope(loop, io::Scope::OnException::end_process);
   scope.spawn(steer(loop, signals, proxy));
   loop.run();
   return kFine;
--- a/rig/client.cpp
+++ b/rig/client.cpp
@@ -78,7 +78,8 @@
     return out;
   };
   io::Socket socket;
-  const auto connected = co_await io::within(loop, asked + io::kSecond, io::connect(loop, q.at, socket));
+  const auto connected =
+      co_await io::with_deadline(loop, asked + io::kSecond, io::connect(loop, q.at, socket));
   if (!connected || !connected->ok()) {
     out.took = loop.now() - asked;
     out.how = "unreached";
@@ -91,7 +92,7 @@
                   q.abandon / io::kMs);
   if (!q.key.empty()) fields += "authorization: Bearer " + q.key + "\r\n";
   if (!q.mark.empty()) fields += "idempotency-key: " + q.mark + "\r\n";
-  const std::string text = http::request_text("POST", q.path, q.at.text(), fields, q.body);
+  const std::string text = http::format_request("POST", q.path, q.at.to_string(), fields, q.body);
   record.note("asked", {{"id", q.id},
                         {"sequence", q.sequence},
                         {"router", q.router},
@@ -100,26 +101,26 @@
                         {"whole", !q.stream},
                         {"abandon", q.abandon},
                         {"slo", q.slo}});
-  http::Reader reader(socket, http::Kind::response);
-  const io::Moved moved = co_await socket.write_all(text);
+  http::MessageReader reader(socket, http::MessageKind::response);
+  const io::IoResult moved = co_await socket.write_all(text);
   if (!moved.ok()) co_return done("cut");
   const io::Nanos deadline = asked + q.abandon + kPatience + (q.stream ? 0 : kWholeTakes);
   http::Head head;
-  const auto headed = co_await io::within(loop, deadline, reader.head(head));
+  const auto headed = co_await io::with_deadline(loop, deadline, reader.read_head(head));
   if (!headed) co_return done("silent");
-  if (*headed != http::Fault::none) co_return done("cut");
+  if (*headed != http::MessageError::none) co_return done("cut");
   out.status = head.status;
   if (const auto after = head.field("retry-after-ms"))
     out.retry_after = std::atoll(std::string(*after).c_str()) * io::kMs;
   TokenCheck check;
   if (head.status == 200 && q.stream) {
-    http::Events events;
+    http::SseParser events;
     bool ended = false;
     io::Nanos leave_at = INT64_MAX;
-    while (reader.more()) {
+    while (reader.has_more()) {
       std::span<const std::string_view> pieces;
       const io::Nanos until = out.first == 0 ? deadline : std::min(leave_at, loop.now() + 60 * io::kSecond);
-      const auto got = co_await io::within(loop, until, reader.pieces(pieces));
+      const auto got = co_await io::with_deadline(loop, until, reader.read_body_pieces(pieces));
       if (!got) {
         out.tokens = check.count();
         co_return done(out.first == 0 ? "silent" : "left");
@@ -133,31 +134,31 @@
         events.feed(piece);
         while (const auto data = events.next()) take_event(*data, out, check, ended);
       }
-      if (*got != http::Fault::none && out.how.empty()) {
+      if (*got != http::MessageError::none && out.how.empty()) {
         out.tokens = check.count();
         co_return done("cut");
       }
-      if (*got != http::Fault::none) break;
+      if (*got != http::MessageError::none) break;
     }
     out.tokens = check.count();
-    if (events.partial() > 0 || reader.leftover() || !check.ok()) co_return done("garbled");
+    if (events.pending_bytes() > 0 || reader.has_leftover() || !check.ok()) co_return done("garbled");
     co_return done(out.how.empty() ? "cut" : std::string(out.how).c_str());
   }
   std::string body;
-  const auto rest = co_await io::within(loop, deadline + 60 * io::kSecond, reader.rest(body));
-  if (!rest || *rest != http::Fault::none) co_return done("cut");
+  const auto rest = co_await io::with_deadline(loop, deadline + 60 * io::kSecond, reader.read_body(body));
+  if (!rest || *rest != http::MessageError::none) co_return done("cut");
   const json all = json::parse(body, nullptr, false);
   if (head.status == 200) {
     out.first = loop.now() - asked;
     if (all.is_object() && all.contains("choices"))
       for (const json& choice : all["choices"]) check.add(text_of(choice));
     out.tokens = check.count();
-    co_return done(check.ok() && check.count() > 0 && !reader.leftover() ? "generated" : "garbled");
+    co_return done(check.ok() && check.count() > 0 && !reader.has_leftover() ? "generated" : "garbled");
   }
   const std::string code = all.is_object() && all.contains("error") && all["error"].is_object()
                                ? all["error"].value("code", "")
                                : "";
-  if (reader.leftover() || code.empty()) co_return done("garbled");
+  if (reader.has_leftover() || code.empty()) co_return done("garbled");
   if (head.status == 503) co_return done("rejected");
   co_return done(head.status < 500 ? "refused" : "aborted", {{"code", code}});
 }
--- a/rig/cost.cpp
+++ b/rig/cost.cpp
@@ -43,8 +43,8 @@
   Cost out;
   out.allocations = static_cast<double>(heap.allocations), out.bytes = static_cast<double>(heap.bytes);
   out.copied = static_cast<double>(heap.copied);
-  for (std::size_t i = 0; i < io::kCalls; ++i) {
-    out.by_name[i] = static_cast<double>(loop.calls().all()[i]);
+  for (std::size_t i = 0; i < io::kSystemCallCount; ++i) {
+    out.by_name[i] = static_cast<double>(loop.system_calls().counts()[i]);
     out.calls += out.by_name[i];
   }
   return out;
@@ -59,38 +59,40 @@
 
 class Watched final : public Policy, private Actions {
  public:
-  Watched(const io::Loop& loop, const Deployment& d, std::uint64_t seed, Nanos now, Actions& out, Told& told)
+  Watched(const io::Loop& loop, const PolicySettings& d, std::uint64_t seed, Nanos now, Actions& out,
+          Told& told)
       : loop_(loop), out_(out), told_(told), inner_(make_policy(d, seed, now, *this)) {}
 
   void list_begins(Nanos now, bool complete) override { inner_->list_begins(now, complete); }
-  void worker_listed(int w, std::uint64_t identity, Standing standing, Nanos started, int kind, int zone,
+  void worker_listed(int w, std::uint64_t identity, WorkerStatus standing, Nanos started, int kind, int zone,
                      int cell) override {
     inner_->worker_listed(w, identity, standing, started, kind, zone, cell);
   }
   void list_ends() override { inner_->list_ends(); }
   void list_failed(Nanos now) override { inner_->list_failed(now); }
-  void sequence_came(Nanos now, int seq, int type, int tenant, std::uint64_t session, std::uint64_t beginning,
-                     double prompt, double beginning_tokens, double max_out, Nanos abandon_at) override {
+  void request_arrived(Nanos now, int seq, int type, int tenant, std::uint64_t session,
+                       std::uint64_t beginning, double prompt, double beginning_tokens, double max_out,
+                       Nanos abandon_at) override {
     told_.came = true;
     timed([&] {
-      inner_->sequence_came(now, seq, type, tenant, session, beginning, prompt, beginning_tokens, max_out,
-                            abandon_at);
+      inner_->request_arrived(now, seq, type, tenant, session, beginning, prompt, beginning_tokens, max_out,
+                              abandon_at);
     });
   }
   void client_left(Nanos now, int seq) override { inner_->client_left(now, seq); }
-  void stream_began(Nanos now, int seq, int attempt, Nanos took) override {
+  void stream_started(Nanos now, int seq, int attempt, Nanos took) override {
     told_.began = true;
-    timed([&] { inner_->stream_began(now, seq, attempt, took); });
+    timed([&] { inner_->stream_started(now, seq, attempt, took); });
   }
   void attempt_ended(Nanos now, int seq, int attempt, Outcome outcome, Nanos took, bool closed, double kept,
-                     const Report& report) override {
-    (outcome == Outcome::read_done   ? told_.read
-     : outcome == Outcome::generated ? told_.ended
-                                     : told_.failed) = true;
+                     const LoadReport& report) override {
+    (outcome == Outcome::prefill_done ? told_.read
+     : outcome == Outcome::generated  ? told_.ended
+                                      : told_.failed) = true;
     timed([&] { inner_->attempt_ended(now, seq, attempt, outcome, took, closed, kept, report); });
   }
-  void woke(Nanos now) override {
-    timed([&] { inner_->woke(now); });
+  void on_wakeup(Nanos now) override {
+    timed([&] { inner_->on_wakeup(now); });
   }
 
  private:
@@ -111,8 +113,8 @@
   void send(int seq, int worker, AttemptLimits limits) override {
     host([&] { out_.send(seq, worker, limits); });
   }
-  void let_go(int seq) override {
-    host([&] { out_.let_go(seq); });
+  void release(int seq) override {
+    host([&] { out_.release(seq); });
   }
   void cancel(int seq, int attempt) override {
     host([&] { out_.cancel(seq, attempt); });
@@ -120,11 +122,11 @@
   void reject(int seq, Nanos after) override { out_.reject(seq, after); }
   void abort(int seq) override { out_.abort(seq); }
   void subscribe() override { out_.subscribe(); }
-  void wake(Nanos after) override {
-    host([&] { out_.wake(after); });
+  void request_wakeup(Nanos after) override {
+    host([&] { out_.request_wakeup(after); });
   }
-  void forget_sequence(int seq) override {
-    host([&] { out_.forget_sequence(seq); });
+  void forget_request(int seq) override {
+    host([&] { out_.forget_request(seq); });
   }
   void forget_worker(int worker) override { out_.forget_worker(worker); }
 
@@ -134,7 +136,7 @@
   std::unique_ptr<Policy> inner_;
 };
 
-core::Station station_of(const std::string& roster) {
+core::RouterConfig station_of(const std::string& roster) {
   const std::string path = fmt::format("/tmp/cressrill-cost-{}.toml", static_cast<const void*>(&roster));
   std::ofstream(path)
       << "[router]\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nroster = \"" << roster
@@ -145,10 +147,10 @@
          "[[kind]]\nname = \"decode\"\nrole = \"writer\"\nmemory_tokens = 1e9\n"
          "[[traffic_type]]\nname = \"plain\"\neffect = \"repeatable\"\nslo_ms = 20000\n"
          "abandon_ms = 600000\n";
-  core::FileFaults faults;
-  auto station = core::read_station(path, faults);
+  core::ConfigErrors faults;
+  auto station = core::read_router_config(path, faults);
   std::remove(path.c_str());
-  if (!station) throw std::logic_error(faults.empty() ? "no station" : faults[0].text());
+  if (!station) throw std::logic_error(faults.empty() ? "no station" : faults[0].to_string());
   return *station;
 }
 
@@ -159,7 +161,7 @@
         probe_(probe),
         nothing_(outside_, "/dev/null"),
         roster_(outside_, {127u << 24 | 1, 0}, nothing_),
-        station_(station_of(roster_.address().text())),
+        station_(station_of(roster_.address().to_string())),
         log_("r", "info"),
         clients_(outside_) {
     const int readers = play.failures > 0 ? 8 : 2;
@@ -168,19 +170,20 @@
       EngineMake m;
       m.name = fmt::format("{}-{}", i < readers ? "reader" : "writer", i);
       m.kind = i < readers ? "prefill" : "decode";
-      m.role = i < readers ? Role::reader : Role::writer;
+      m.role = i < readers ? Role::prefill : Role::decode;
       m.address = "127.0.0.1:0", m.zone = "a", m.cell = "c";
       m.slots = m.queue = 100'000, m.memory_tokens = 1e9, m.read_per_s = 1e7;
       m.step_ms = static_cast<double>(play.step) / 1e6, m.step_ms_per_sequence = 0, m.transfer_per_s = 1e9;
       engines_.push_back(std::make_unique<Engine>(outside_, m, nothing_));
-      if (i < readers + 2) roster_.change(listed(*engines_.back(), Standing::ready));
+      if (i < readers + 2) roster_.change(listed(*engines_.back(), WorkerStatus::ready));
     }
     run_for(5 * io::kMs);
-    router_ = std::make_unique<router::Instance>(
-        inside_, station_, log_, 7,
-        [this](const Deployment& d, std::uint64_t seed, Nanos now, Actions& out) -> std::unique_ptr<Policy> {
-          return std::make_unique<Watched>(inside_, d, seed, now, out, told_);
-        });
+    router_ = std::make_unique<router::Instance>(inside_, station_, log_, 7,
+                                                 [this](const PolicySettings& d, std::uint64_t seed,
+                                                        Nanos now, Actions& out) -> std::unique_ptr<Policy> {
+                                                   return std::make_unique<Watched>(inside_, d, seed, now,
+                                                                                    out, told_);
+                                                 });
     run_for(50 * io::kMs);
   }
   ~Stepped() {
@@ -214,7 +217,7 @@
     for (std::size_t i = engines_.size() - 4; i < engines_.size(); ++i) {
       const bool old = i < engines_.size() - 2;
       if (old) engines_[i]->apply({"slow", 1e9, 0, ""});
-      roster_.change(listed(*engines_[i], old ? Standing::draining : Standing::ready));
+      roster_.change(listed(*engines_[i], old ? WorkerStatus::draining : WorkerStatus::ready));
     }
     run_for(100 * io::kMs);
   }
@@ -223,7 +226,7 @@
     for (int r = 0; r < rounds; ++r) {
       failing_ = play_.failures;
       for (auto& e : engines_)
-        if (failing_ > 0 && e->make().role == Role::reader) e->apply({"fast_errors", 1, 0, ""});
+        if (failing_ > 0 && e->make().role == Role::prefill) e->apply({"fast_errors", 1, 0, ""});
       answered_ = 0;
       for (int i = 0; i < play_.at_once; ++i) ask(play_.events, false);
       run_until([&] { return answered_ == play_.at_once; });
@@ -235,16 +238,16 @@
   void parse(int times) {
     for (int i = 0; i < times; ++i) {
       std::string body = body_;
-      body.reserve(body.size() + http::kSlack);
+      body.reserve(body.size() + http::kReadPaddingBytes);
       const Cost before = now_of(inside_);
       heap.on = true;
       if (probe_.begins) probe_.begins();
-      const auto facts = core::read_sequence(core::Api::chat, std::move(body), {});
+      const auto facts = core::parse_request(core::Api::chat, std::move(body), {});
       if (probe_.ends) probe_.ends();
       heap.on = false;
       if (probe_.was) probe_.was(Stage::parse);
       result_.stages[static_cast<std::size_t>(Stage::parse)] += now_of(inside_) - before;
-      if (!std::holds_alternative<core::Facts>(facts)) ++result_.failed;
+      if (!std::holds_alternative<core::ParsedRequest>(facts)) ++result_.failed;
     }
   }
 
@@ -282,15 +285,15 @@
 
   void run_until(const std::function<bool()>& done, io::Nanos latest = io::Loop::kNoTimer) {
     while (!done()) {
-      const bool out = outside_.round();
+      const bool out = outside_.run_once();
       const bool due = play_.busy == 0 || !counting_ || outside_.now() >= next_turn_;
       const bool in = due && turn();
       if (out || in) continue;
-      io::Nanos next = std::min(outside_.next_timer(), due ? inside_.next_timer() : next_turn_);
+      io::Nanos next = std::min(outside_.next_timer_at(), due ? inside_.next_timer_at() : next_turn_);
       next = std::min(next, latest);
       if (next == io::Loop::kNoTimer) throw std::logic_error("nothing is left to happen");
       next = std::max(next, outside_.now());
-      outside_.jump(next), inside_.jump(next);
+      outside_.advance_to(next), inside_.advance_to(next);
     }
   }
 
@@ -301,7 +304,7 @@
     bool any = false;
     heap.on = counting_;
     if (probe_.begins && counting_) probe_.begins();
-    while (inside_.round()) any = true;
+    while (inside_.run_once()) any = true;
     if (probe_.ends && counting_) probe_.ends();
     heap.on = false;
     Cost cost = now_of(inside_) - before;
@@ -311,7 +314,7 @@
       return false;
     }
     // The look that finds nothing is the wait that the next turn begins with: counted there.
-    --cost.by_name[static_cast<std::size_t>(io::Call::epoll_wait)], --cost.calls;
+    --cost.by_name[static_cast<std::size_t>(io::SystemCall::epoll_wait)], --cost.calls;
     const Stage stage = stage_of(cost);
     if (probe_.was && counting_) probe_.was(stage);
     if (counting_) {
@@ -328,18 +331,18 @@
     if (told_.ended) return Stage::end;
     if (told_.read || told_.failed) return Stage::read;
     if (told_.began) return Stage::first;
-    const auto of = [&](io::Call call) { return cost.by_name[static_cast<std::size_t>(call)] > 0; };
-    if (of(io::Call::accept4)) return Stage::accept;
-    return of(io::Call::send) ? Stage::event : Stage::rest;
+    const auto of = [&](io::SystemCall call) { return cost.by_name[static_cast<std::size_t>(call)] > 0; };
+    if (of(io::SystemCall::accept4)) return Stage::accept;
+    return of(io::SystemCall::send) ? Stage::event : Stage::rest;
   }
 
   Play play_;
   Probe probe_;
-  io::Loop outside_{io::Loop::Time::handed};
-  io::Loop inside_{io::Loop::Time::handed};
+  io::Loop outside_{io::Loop::Clock::simulated};
+  io::Loop inside_{io::Loop::Clock::simulated};
   Recorder nothing_;
   Roster roster_;
-  core::Station station_;
+  core::RouterConfig station_;
   core::Log log_;
   std::vector<std::unique_ptr<Engine>> engines_;
   std::unique_ptr<router::Instance> router_;
--- a/rig/cost.h
+++ b/rig/cost.h
@@ -29,7 +29,7 @@
   double bytes{};
   double copied{};
   double calls{};
-  std::array<double, io::kCalls> by_name{};
+  std::array<double, io::kSystemCallCount> by_name{};
   double instructions{};  // where the tool told them
   Cost& operator+=(const Cost& other);
   Cost operator-(const Cost& other) const;
--- a/rig/crowd.cpp
+++ b/rig/crowd.cpp
@@ -62,8 +62,9 @@
   const Traffic& t = day_.traffic[s.traffic];
   const RuleBook::Type& type = day_.book.types.at(t.type);
   const auto index = static_cast<std::size_t>(
-      std::ranges::find_if(day_.station.types, [&](const core::TypeRule& r) { return r.name == t.type; }) -
-      day_.station.types.begin());
+      std::ranges::find_if(day_.station.type_rules,
+                           [&](const core::TrafficTypeRule& r) { return r.name == t.type; }) -
+      day_.station.type_rules.begin());
   const std::string name = fmt::format("s{}", ++sequences_);
   const int out = std::clamp(static_cast<int>(spread(t.out_tokens)), 2, 8 * t.out_tokens);
   const bool stream = chance() >= t.whole;
@@ -74,18 +75,19 @@
   q.body = body(s, t, out, stream);
   if (t.mark) q.mark = "mark-" + name;
   const double prompt = static_cast<double>(tokenize(q.body).count);
-  const core::TypeRule& rule = day_.station.types[index];
+  const core::TrafficTypeRule& rule = day_.station.type_rules[index];
   const auto per_1000 = [&](Nanos span) {
     return static_cast<Nanos>(prompt / 1000 * static_cast<double>(span));
   };
-  q.slo =
-      day_.station.deployment.types[index].slo + per_1000(day_.station.deployment.types[index].slo_per_1000);
+  q.slo = day_.station.settings.types[index].slo +
+          per_1000(day_.station.settings.types[index].slo_per_1000_tokens);
   const double share = day_.clients.try_share * give_up_;
-  q.abandon = static_cast<Nanos>(share * static_cast<double>(rule.abandon + per_1000(rule.abandon_per_1000)));
+  q.abandon = static_cast<Nanos>(
+      share * static_cast<double>(rule.time_limit + per_1000(rule.time_limit_per_1000_tokens)));
   q.abandon = q.abandon / io::kMs * io::kMs;
   if (chance() < day_.clients.leave) q.leave_after_first = 50 * io::kMs;
   for (const core::Tenant& tenant : day_.station.tenants)
-    if (!tenant.keys.empty() && (q.key.empty() || chance() < 0.5)) q.key = tenant.keys.front();
+    if (!tenant.api_keys.empty() && (q.key.empty() || chance() < 0.5)) q.key = tenant.api_keys.front();
   const io::Nanos first = loop_.now();
   for (int tries = 0;; ++tries) {
     const std::size_t router = pick_router(s.zone);
--- a/rig/day.cpp
+++ b/rig/day.cpp
@@ -57,57 +57,57 @@
   return it == std::end(kKinds) ? nullptr : it;
 }
 
-Traffic read_traffic(core::Table& t) {
+Traffic read_traffic(core::TomlTable& t) {
   Traffic to;
-  to.type = t.text("type");
-  to.model = t.text("model");
+  to.type = t.string("type");
+  to.model = t.string("model");
   to.share = t.number("share", 0, 1000);
   to.turns = t.number("turns", 1, 1000, 2);
-  to.think = t.span("think_ms", 0, kHour, 1500);
-  to.beginnings = t.whole("beginnings", 0, 100'000, 8);
-  to.beginning_words = t.whole("beginning_words", 0, 1'000'000, 400);
-  to.turn_words = t.whole("turn_words", 1, 1'000'000, 100);
-  to.out_tokens = t.whole("out_tokens", 1, 100'000, 40);
-  to.mark = t.flag("mark", false);
+  to.think = t.duration("think_ms", 0, kHour, 1500);
+  to.beginnings = t.integer("beginnings", 0, 100'000, 8);
+  to.beginning_words = t.integer("beginning_words", 0, 1'000'000, 400);
+  to.turn_words = t.integer("turn_words", 1, 1'000'000, 100);
+  to.out_tokens = t.integer("out_tokens", 1, 100'000, 40);
+  to.mark = t.boolean("mark", false);
   to.whole = t.number("whole", 0, 1, 0);
   to.late_share = t.number("late_share", 0, 1, 0.2);
-  t.finish();
+  t.report_unknown_keys();
   return to;
 }
 
-Trouble read_trouble(core::Table& t, const Day& day) {
+Trouble read_trouble(core::TomlTable& t, const Day& day) {
   Trouble to;
-  to.at = t.span("at_ms", 0, 24 * kHour);
-  to.span = t.span("for_ms", 0, 24 * kHour, 0);
-  to.kind = t.text("kind");
-  to.routers = t.texts("routers");
-  to.engines = t.texts("engines");
+  to.at = t.duration("at_ms", 0, 24 * kHour);
+  to.span = t.duration("for_ms", 0, 24 * kHour, 0);
+  to.kind = t.string("kind");
+  to.routers = t.strings("routers");
+  to.engines = t.strings("engines");
   to.size = t.number("size", 0, 1e9, 0);
-  to.to = t.text("to", "");
-  t.finish();
+  to.to = t.string("to", "");
+  t.report_unknown_keys();
   const Kind* kind = find_kind(to.kind);
   if (kind == nullptr) {
-    t.fault("kind", "is '" + to.kind + "', which is not known");
+    t.add_error("kind", "is '" + to.kind + "', which is not known");
     return to;
   }
   const bool router_found =
       std::ranges::any_of(day.routers, [&](auto& r) { return matches(to.routers, r.name); });
   const bool engine_found =
       std::ranges::any_of(day.engines, [&](auto& e) { return matches(to.engines, e.name); });
-  if (strikes_routers(*kind) && !router_found) t.fault("routers", "names no router of this day");
-  if (strikes_engines(*kind) && !engine_found) t.fault("engines", "names no engine of this day");
+  if (strikes_routers(*kind) && !router_found) t.add_error("routers", "names no router of this day");
+  if (strikes_engines(*kind) && !engine_found) t.add_error("engines", "names no engine of this day");
   return to;
 }
 
-Clients read_clients(core::Table& t) {
+Clients read_clients(core::TomlTable& t) {
   Clients to;
-  to.retries = t.whole("retries", 0, 100, to.retries);
-  to.backoff = t.span("backoff_ms", 0, kHour, 200);
+  to.retries = t.integer("retries", 0, 100, to.retries);
+  to.backoff = t.duration("backoff_ms", 0, kHour, 200);
   to.honour = t.number("honour", 0, 1, to.honour);
   to.try_share = t.number("try_share", 0.1, 1, to.try_share);
   to.leave = t.number("leave", 0, 1, to.leave);
-  to.notice = t.span("notice_ms", 0, kHour, 2000);
-  t.finish();
+  to.notice = t.duration("notice_ms", 0, kHour, 2000);
+  t.report_unknown_keys();
   return to;
 }
 
@@ -161,7 +161,7 @@
              "\"{}\"\nzone = \"{}\"\n"
              "zones = [{}]\nrouters = {}\ntick_ms = {}\nlog_level = \"debug\"\n\n",
              place.name, listen, admin, roster, last_list, place.zone, zones, day.routers.size(),
-             static_cast<double>(day.station.deployment.tick) / 1e6) +
+             static_cast<double>(day.station.settings.tick) / 1e6) +
          day.shared;
 }
 
@@ -183,47 +183,47 @@
   return out;
 }
 
-std::optional<Day> read_day(const std::string& path, core::FileFaults& faults) {
-  const auto file = core::read_toml(path, faults);
+std::optional<Day> read_day(const std::string& path, core::ConfigErrors& faults) {
+  const auto file = core::parse_toml_file(path, faults);
   if (!file) return std::nullopt;
   const std::size_t before = faults.size();
   Day to;
-  core::Table root(*file, "", path, faults);
+  core::TomlTable root(*file, "", path, faults);
   double tick_ms = 10;
   if (auto t = root.table("day", true)) {
-    to.name = t->text("name");
-    to.length = t->span("length_ms", 100, 24 * kHour);
+    to.name = t->string("name");
+    to.length = t->duration("length_ms", 100, 24 * kHour);
     to.seed = static_cast<std::uint64_t>(t->number("seed", 0, 1e15, 1));
     to.rate = t->number("sequences_per_s", 0.01, 1e6);
-    to.roster_late = t->span("roster_late_ms", 0, kHour, 300);
+    to.roster_late = t->duration("roster_late_ms", 0, kHour, 300);
     tick_ms = t->number("tick_ms", 0.1, 1000, 10);
-    to.station.zones = t->texts("zones", true);
-    t->finish();
+    to.station.zones = t->strings("zones", true);
+    t->report_unknown_keys();
   }
-  to.station.deployment.tick = static_cast<Nanos>(tick_ms * 1e6);
-  for (core::Table& t : root.tables("router", true)) {
-    to.routers.push_back({t.text("name"), t.text("zone")});
+  to.station.settings.tick = static_cast<Nanos>(tick_ms * 1e6);
+  for (core::TomlTable& t : root.tables("router", true)) {
+    to.routers.push_back({t.string("name"), t.string("zone")});
     if (std::ranges::find(to.station.zones, to.routers.back().zone) == to.station.zones.end())
-      t.fault("zone", "is not among 'day.zones'");
-    t.finish();
+      t.add_error("zone", "is not among 'day.zones'");
+    t.report_unknown_keys();
   }
   to.engines = read_engines(root);
-  for (core::Table& t : root.tables("traffic", true)) to.traffic.push_back(read_traffic(t));
+  for (core::TomlTable& t : root.tables("traffic", true)) to.traffic.push_back(read_traffic(t));
   if (auto t = root.table("clients", false)) to.clients = read_clients(*t);
-  for (core::Table& t : root.tables("trouble", false)) to.troubles.push_back(read_trouble(t, to));
-  for (const char* key : {"rules", "bounds", "kind", "traffic_type", "tenant"}) root.leave(key);
-  root.finish();
+  for (core::TomlTable& t : root.tables("trouble", false)) to.troubles.push_back(read_trouble(t, to));
+  for (const char* key : {"rules", "bounds", "kind", "traffic_type", "tenant"}) root.ignore(key);
+  root.report_unknown_keys();
   to.shared = shared_text(*file);
   if (faults.size() > before || to.routers.empty()) return std::nullopt;
 
   // The routers' own reader judges the tables that they share, by their places in a file of its own.
   const std::string trial = fmt::format("/tmp/cressrill-day-{}.toml", static_cast<const void*>(&to));
   std::ofstream(trial) << router_file(to, to.routers.front(), "127.0.0.1:1", "", "127.0.0.1:2", "");
-  core::FileFaults inner;
-  const auto station = core::read_station(trial, inner);
+  core::ConfigErrors inner;
+  const auto station = core::read_router_config(trial, inner);
   std::remove(trial.c_str());
-  for (core::FileFault& f : inner)
-    faults.push_back({path, 0, 0, "in the tables that the routers share: " + f.what});
+  for (core::ConfigError& f : inner)
+    faults.push_back({path, 0, 0, "in the tables that the routers share: " + f.message});
   if (!station) return std::nullopt;
   to.station = *station;
   for (const EngineMake& m : to.engines)
@@ -235,13 +235,13 @@
       faults.push_back({path, 0, 0, "kind '" + kind + "' has no engine"});
 
   to.book.drain_grace = station->drain_grace;
-  to.book.pin_limit = station->deployment.pin_limit;
-  for (std::size_t i = 0; i < station->types.size(); ++i) {
-    const TrafficType& t = station->deployment.types[i];
-    RuleBook::Type& type = to.book.types[station->types[i].name];
+  to.book.pin_limit = station->settings.kv_hold_limit;
+  for (std::size_t i = 0; i < station->type_rules.size(); ++i) {
+    const TrafficType& t = station->settings.types[i];
+    RuleBook::Type& type = to.book.types[station->type_rules[i].name];
     type = {t.effect, t.group, t.window, t.utility, 0.2};
     for (const Traffic& traffic : to.traffic)
-      if (traffic.type == station->types[i].name) type.late_share = traffic.late_share;
+      if (traffic.type == station->type_rules[i].name) type.late_share = traffic.late_share;
   }
   for (const Traffic& traffic : to.traffic)
     if (!to.book.types.contains(traffic.type))
--- a/rig/day.h
+++ b/rig/day.h
@@ -62,12 +62,12 @@
   std::vector<Traffic> traffic;
   std::vector<Trouble> troubles;
   Clients clients;
-  core::Station station;  // what all routers share
-  std::string shared;     // the same as TOML text, for their files
+  core::RouterConfig station;  // what all routers share
+  std::string shared;          // the same as TOML text, for their files
   RuleBook book;
 };
 
-std::optional<Day> read_day(const std::string& path, core::FileFaults& faults);
+std::optional<Day> read_day(const std::string& path, core::ConfigErrors& faults);
 // The same day with one trouble alone, of the usual size of its kind, in the middle of the day. Throws
 // std::invalid_argument for a kind that is not known.
 void keep_only(Day& day, const std::string& kind);
--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -83,10 +83,10 @@
 
 void Engine::start() {
   server_ = std::make_unique<http::Server>(
-      loop_, address_, [this](http::Request& rq, http::Answer& a) { return serve(rq, a); },
-      http::Bounds{64 * 1024, 16 * 1024 * 1024});
+      loop_, address_, [this](http::Request& rq, http::ResponseWriter& a) { return serve(rq, a); },
+      http::MessageLimits{64 * 1024, 16 * 1024 * 1024});
   address_ = server_->address();
-  make_.address = address_.text();
+  make_.address = address_.to_string();
   slow_ = 1, errors_ = throttle_ = cut_ = 0;
   silent_ = false;
   work_.spawn(reader());
@@ -155,9 +155,9 @@
     cut_ = f.size;
     ends([this] { cut_ = 0; });
   } else if (f.kind == "handshake_slow") {
-    if (server_) server_->accept_slowly(nanos(f.size));
+    if (server_) server_->throttle_accept(nanos(f.size));
     ends([this] {
-      if (server_) server_->accept_slowly(0);
+      if (server_) server_->throttle_accept(0);
     });
   } else {
     throw std::invalid_argument("fault '" + f.kind + "' is not known to engines");
@@ -190,7 +190,7 @@
 
 std::string Engine::load() {
   if (load_.empty() || loop_.now() - load_at_ >= nanos(make_.report_ms)) {
-    const double held = make_.role == Role::reader ? state_tokens_ : write_tokens_;
+    const double held = make_.role == Role::prefill ? state_tokens_ : write_tokens_;
     load_ = fmt::format(
         "endpoint-load-metrics: TEXT named_metrics.kv_cache_usage_perc={:.4f}, "
         "named_metrics.num_requests_running={}, named_metrics.num_requests_waiting={}\r\n",
@@ -211,7 +211,7 @@
   while (silent_) co_await loud_.wait();
 }
 
-io::Task<> Engine::serve(http::Request& request, http::Answer& answer) {
+io::Task<> Engine::serve(http::Request& request, http::ResponseWriter& answer) {
   co_await unsilenced();
   const std::string_view target = request.head.target;
   if (target == "/v1/chat/completions" || target == "/v1/completions") {
@@ -224,22 +224,22 @@
     for (const JobRef& job : reads_)
       if (job->id == id) job->dropped = true;
     free_state(id, "freed");
-    co_await answer.whole(200, kJson, "{}");
+    co_await answer.respond(200, kJson, "{}");
   } else if (target == "/v1/kv/fetch") {
     co_await fetch(id, body.value("cell", ""), answer);
   } else {
-    co_await answer.whole(404, kJson, core::error_body(404, "Not served here.", "unknown_url"));
+    co_await answer.respond(404, kJson, core::error_body(404, "Not served here.", "unknown_url"));
   }
 }
 
-io::Task<> Engine::refuse(http::Answer& answer, const Job& job, int status, const char* code) {
+io::Task<> Engine::refuse(http::ResponseWriter& answer, const Job& job, int status, const char* code) {
   note("out", job, {{"how", code}});
   const std::string fields =
       std::string(kJson) + load() + (status == 503 && chance() < 0.5 ? "retry-after: 1\r\n" : "");
-  co_await answer.whole(status, fields, core::error_body(status, code, code));
+  co_await answer.respond(status, fields, core::error_body(status, code, code));
 }
 
-io::Task<> Engine::complete(http::Request& request, http::Answer& answer, bool chat) {
+io::Task<> Engine::complete(http::Request& request, http::ResponseWriter& answer, bool chat) {
   const json body = json::parse(request.body, nullptr, false);
   auto job = std::make_shared<Job>(loop_);
   const auto field = [&](const char* name) { return std::string(request.head.field(name).value_or("")); };
@@ -262,7 +262,7 @@
   if (chance() < errors_) co_return co_await refuse(answer, *job, 500, "engine_failed");
   const bool aimed = throttle_to_.empty() || throttle_to_ == job->type || throttle_to_ == job->tenant;
   if (aimed && chance() < throttle_) co_return co_await refuse(answer, *job, 503, "full");
-  if (make_.role == (reads ? Role::writer : Role::reader))
+  if (make_.role == (reads ? Role::decode : Role::prefill))
     co_return co_await refuse(answer, *job, 400, "wrong_role");
   job->tokens = tokenize(prompt_of(body));
   // How long the answer is, is the engine's to know: rigs tell it in the metadata.
@@ -331,13 +331,13 @@
   }
 }
 
-io::Task<> Engine::drop_when_gone(http::Answer& answer, JobRef job) {
-  co_await answer.peer_gone();
+io::Task<> Engine::drop_when_gone(http::ResponseWriter& answer, JobRef job) {
+  co_await answer.wait_for_client_close();
   job->dropped = true;
   job->news.notify();
 }
 
-io::Task<> Engine::read(JobRef job, http::Answer& answer, bool chat) {
+io::Task<> Engine::read(JobRef job, http::ResponseWriter& answer, bool chat) {
   reads_.push_back(job);
   read_came_.notify();
   {
@@ -349,7 +349,7 @@
   if (job->dropped) {
     std::erase_if(reads_, [&](const JobRef& j) { return j == job && j != reads_.front(); });
     note("out", *job, {{"how", "dropped"}});
-    answer.break_off();
+    answer.abort();
     co_return;
   }
   const double tokens = static_cast<double>(job->tokens.count);
@@ -375,7 +375,7 @@
               {"remote_host", make_.address.substr(0, make_.address.rfind(':'))},
               {"remote_port", address_.port}}}};
   const std::string fields = std::string(kJson) + load();
-  if (!co_await answer.whole(200, fields, body.dump())) free_state(job->id, "freed");
+  if (!co_await answer.respond(200, fields, body.dump())) free_state(job->id, "freed");
 }
 
 io::Task<> Engine::expire(std::string id, std::uint64_t serial) {
@@ -392,10 +392,10 @@
   record_.note(how, {{"engine", make_.name}, {"id", id}});
 }
 
-io::Task<> Engine::fetch(const std::string& id, const std::string& cell, http::Answer& answer) {
+io::Task<> Engine::fetch(const std::string& id, const std::string& cell, http::ResponseWriter& answer) {
   const auto it = states_.find(id);
   if (it == states_.end() || it->second.moving) {
-    co_await answer.whole(404, kJson, core::error_body(404, "No such state.", "kv_state_not_found"));
+    co_await answer.respond(404, kJson, core::error_body(404, "No such state.", "kv_state_not_found"));
     co_return;
   }
   it->second.moving = true;
@@ -405,8 +405,8 @@
   {
     io::Signal over(loop_);
     io::Scope both(loop_);
-    both.spawn([](http::Answer& a, bool& g, io::Signal& s) -> io::Task<> {
-      co_await a.peer_gone();
+    both.spawn([](http::ResponseWriter& a, bool& g, io::Signal& s) -> io::Task<> {
+      co_await a.wait_for_client_close();
       g = true;
       s.notify();
     }(answer, gone, over));
@@ -422,7 +422,7 @@
     co_return;
   }
   free_state(id, "taken");
-  co_await answer.whole(200, kJson, "{}");
+  co_await answer.respond(200, kJson, "{}");
 }
 
 // Writing.
@@ -454,14 +454,14 @@
   auto& pool = peers_[job->state_at];
   const auto peer = io::parse_address(job->state_at);
   if (!pool && peer) pool = std::make_shared<http::Pool>(loop_, *peer);
-  http::Exchange got;
+  http::ExchangeResult got;
   if (pool) {
     const std::string body = json{{"request_id", job->state_id}, {"cell", make_.cell}}.dump();
     // A reader that is gone silent holds no one up for ever.
     const auto limit = loop_.now() + 3 * io::kSecond;
-    auto answered = co_await io::within(
+    auto answered = co_await io::with_deadline(
         loop_, limit,
-        http::exchange(pool, http::request_text("POST", "/v1/kv/fetch", job->state_at, kJson, body)));
+        http::exchange(pool, http::format_request("POST", "/v1/kv/fetch", job->state_at, kJson, body)));
     if (answered) got = std::move(*answered);
   }
   std::erase(fetching_, job);
@@ -512,10 +512,10 @@
   }
 }
 
-io::Task<> Engine::write(JobRef job, http::Answer& answer, bool chat) {
+io::Task<> Engine::write(JobRef job, http::ResponseWriter& answer, bool chat) {
   // A mixed engine without a state reads by itself, as a part of its memory and time.
   if (job->state_id.empty()) {
-    if (make_.role == Role::writer) co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
+    if (make_.role == Role::decode) co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
     job->kept = std::min(keep(job->tokens), job->tokens.count - 1);
     co_await loop_.sleep_for(
         nanos(1000 * static_cast<double>(job->tokens.count - job->kept) / make_.read_per_s / speed()));
@@ -534,7 +534,7 @@
     std::erase(writes_, job);
     // Whether it ran: once it was among the running, its effect may stand.
     note("out", *job, {{"how", "dropped"}, {"ran", job->written > 0}});
-    answer.break_off();
+    answer.abort();
     co_return;
   }
   bool repeat = false;
@@ -546,10 +546,10 @@
         {"cell", make_.cell},
         {"zone", make_.zone}});
   const std::string fields = "content-type: text/event-stream\r\n" + load();
-  co_await answer.begin(200, fields);
+  co_await answer.begin_stream(200, fields);
   const bool cut = chance() < cut_;
   std::size_t told = 0;
-  while (told < job->out && !job->dropped && !answer.broken()) {
+  while (told < job->out && !job->dropped && !answer.write_failed()) {
     while (job->written <= told && !job->dropped) co_await job->news.wait();
     co_await unsilenced();
     std::string part;
@@ -571,17 +571,17 @@
     if (cut && told > job->out / 2) {
       note("out", *job, {{"how", "cut"}, {"told", told}});
       job->dropped = true;
-      co_await answer.part(std::string_view(part).substr(0, part.size() / 2));
-      answer.break_off();
+      co_await answer.write_chunk(std::string_view(part).substr(0, part.size() / 2));
+      answer.abort();
       co_return;
     }
-    if (!part.empty()) co_await answer.part(part);
+    if (!part.empty()) co_await answer.write_chunk(part);
   }
   watch.cancel();
-  if (job->dropped || answer.broken()) {
+  if (job->dropped || answer.write_failed()) {
     job->dropped = true;
     note("out", *job, {{"how", "left"}, {"told", told}});
-    answer.break_off();
+    answer.abort();
     co_return;
   }
   note("out", *job, {{"how", "done"}, {"told", told}, {"tokens", job->tokens.count}});
@@ -596,8 +596,8 @@
                      {"total_tokens", job->tokens.count + told},
                      {"prompt_tokens_details", {{"cached_tokens", job->kept}}}}}};
   const std::string last = "data: " + usage.dump() + "\n\ndata: [DONE]\n\n";
-  co_await answer.part(last);
-  co_await answer.end();
+  co_await answer.write_chunk(last);
+  co_await answer.end_stream();
 }
 
 }  // namespace cressrill::rig
--- a/rig/engine.h
+++ b/rig/engine.h
@@ -105,12 +105,12 @@
   bool falls(double work_s);
   double chance();
 
-  io::Task<> serve(http::Request& request, http::Answer& answer);
-  io::Task<> complete(http::Request& request, http::Answer& answer, bool chat);
-  static io::Task<> drop_when_gone(http::Answer& answer, JobRef job);
-  io::Task<> read(JobRef job, http::Answer& answer, bool chat);
-  io::Task<> write(JobRef job, http::Answer& answer, bool chat);
-  io::Task<> fetch(const std::string& id, const std::string& cell, http::Answer& answer);
+  io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
+  io::Task<> complete(http::Request& request, http::ResponseWriter& answer, bool chat);
+  static io::Task<> drop_when_gone(http::ResponseWriter& answer, JobRef job);
+  io::Task<> read(JobRef job, http::ResponseWriter& answer, bool chat);
+  io::Task<> write(JobRef job, http::ResponseWriter& answer, bool chat);
+  io::Task<> fetch(const std::string& id, const std::string& cell, http::ResponseWriter& answer);
   io::Task<> fetch_for(JobRef job);
   io::Task<> reader();
   io::Task<> writer();
@@ -122,7 +122,7 @@
   void free_state(const std::string& id, const char* how);
   std::string load();
   void note(const char* event, const Job& job, Recorder::Line more = Recorder::Line::object());
-  io::Task<> refuse(http::Answer& answer, const Job& job, int status, const char* code);
+  io::Task<> refuse(http::ResponseWriter& answer, const Job& job, int status, const char* code);
   io::Task<> later(io::Nanos span, std::function<void()> then);
 
   io::Loop& loop_;
--- a/rig/fleet_file.cpp
+++ b/rig/fleet_file.cpp
@@ -2,20 +2,20 @@
 
 namespace cressrill::rig {
 
-std::vector<EngineMake> read_engines(core::Table& root) {
+std::vector<EngineMake> read_engines(core::TomlTable& root) {
   std::vector<EngineMake> out;
-  for (core::Table& t : root.tables("engine", true)) {
+  for (core::TomlTable& t : root.tables("engine", true)) {
     EngineMake m;
-    const std::string name = t.text("name");
-    const int count = t.whole("count", 1, 100'000, 1);
-    m.address = t.text("address", "");
-    m.kind = t.text("kind");
+    const std::string name = t.string("name");
+    const int count = t.integer("count", 1, 100'000, 1);
+    m.address = t.string("address", "");
+    m.kind = t.string("kind");
     m.role =
-        t.choice<Role>("role", {{"reader", Role::reader}, {"writer", Role::writer}, {"mixed", Role::mixed}});
-    m.zone = t.text("zone");
-    m.cell = t.text("cell");
-    m.slots = t.whole("slots", 1, 100'000, m.slots);
-    m.queue = t.whole("queue", 0, 100'000, m.queue);
+        t.choice<Role>("role", {{"reader", Role::prefill}, {"writer", Role::decode}, {"mixed", Role::mixed}});
+    m.zone = t.string("zone");
+    m.cell = t.string("cell");
+    m.slots = t.integer("slots", 1, 100'000, m.slots);
+    m.queue = t.integer("queue", 0, 100'000, m.queue);
     m.memory_tokens = t.number("memory_tokens", 1, 1e12, m.memory_tokens);
     m.read_per_s = t.number("read_per_s", 1, 1e12, m.read_per_s);
     m.read_overhead_ms = t.number("read_overhead_ms", 0, 1e6, m.read_overhead_ms);
@@ -29,8 +29,8 @@
     m.fall_multiple = t.number("fall_multiple", 0.01, 1000, m.fall_multiple);
     m.fall_ms = t.number("fall_ms", 1, 1e7, m.fall_ms);
     m.state_expiry_ms = t.number("state_expiry_ms", 1, 1e9, m.state_expiry_ms);
-    if (count > 1 && !m.address.empty()) t.fault("address", "cannot be shared by several engines");
-    t.finish();
+    if (count > 1 && !m.address.empty()) t.add_error("address", "cannot be shared by several engines");
+    t.report_unknown_keys();
     for (int i = 0; i < count; ++i) {
       m.name = count == 1 ? name : name + "-" + std::to_string(i);
       out.push_back(m);
@@ -39,7 +39,7 @@
   return out;
 }
 
-core::ListedWorker listed(const Engine& engine, Standing standing) {
+core::ListedWorker listed(const Engine& engine, WorkerStatus standing) {
   const EngineMake& m = engine.make();
   return {m.name, m.address, standing, 0, m.kind, m.zone, m.cell};
 }
--- a/rig/fleet_file.h
+++ b/rig/fleet_file.h
@@ -9,7 +9,7 @@
 
 // Reads the [[engine]] tables of a file that may hold more. Names of several are name-0, name-1 ...; addresses are
 // given by the caller, host by host, where the file gives none.
-std::vector<EngineMake> read_engines(core::Table& root);
-core::ListedWorker listed(const Engine& engine, Standing standing);
+std::vector<EngineMake> read_engines(core::TomlTable& root);
+core::ListedWorker listed(const Engine& engine, WorkerStatus standing);
 
 }  // namespace cressrill::rig
--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -34,7 +34,7 @@
 HoldModel::HoldModel(const ModelOptions& options)
     : options_(options), hold_(options.limit), links_(kPrefillWorkers + kDecodeWorkers) {}
 
-HoldWorker HoldModel::identity(int worker) const {
+WorkerRef HoldModel::identity(int worker) const {
   return {worker, kFirstIdentity + static_cast<std::uint64_t>(worker)};
 }
 
@@ -65,7 +65,7 @@
   if (may_write && (!out_now(false) || options_.parallel) && hold_.state() == HoldState::held)
     for (int worker = kPrefillWorkers; worker < kPrefillWorkers + kDecodeWorkers; ++worker)
       out.push_back({.what = Happening::decode_written, .worker = worker});
-  if (hold_.owed() && !hold_.wanted()) out.push_back({Happening::release_wanted});
+  if (hold_.needs_release() && !hold_.release_wanted()) out.push_back({Happening::release_wanted});
   if (!attempts_.empty()) out.push_back({Happening::request_over});
   return out;
 }
@@ -253,17 +253,17 @@
 
 // The router notes what it sees, and asks for releases as the releaser does.
 void HoldModel::note(HoldEvent event) {
-  if (!hold_.note(event, now_)) fail(fmt::format("not possible: {}", cressrill::word(event)));
+  if (!hold_.record(event, now_)) fail(fmt::format("not possible: {}", cressrill::to_string(event)));
 }
 
 void HoldModel::note_attempt(HoldEvent event, int attempt, Nanos runs_for) {
   const Attempt& a = attempts_[static_cast<std::size_t>(attempt)];
-  if (!hold_.note_attempt(event, now_, attempt, identity(a.worker), runs_for))
-    fail(fmt::format("not possible: {} of attempt {}", cressrill::word(event), attempt));
+  if (!hold_.record_attempt(event, now_, attempt, identity(a.worker), runs_for))
+    fail(fmt::format("not possible: {} of attempt {}", cressrill::to_string(event), attempt));
 }
 
 void HoldModel::drive() {
-  if (!hold_.owed() || hold_.release_due() > now_) return;
+  if (!hold_.needs_release() || hold_.release_due() > now_) return;
   if (hold_.state() == HoldState::releasing && release_.out) return;
   if (hold_.state() != HoldState::releasing) note(HoldEvent::release_asked);
   release_ = {.out = true, .written = now_};
@@ -342,7 +342,7 @@
 
 std::string HoldModel::describe() const {
   const Nanos due = hold_.release_due();
-  return fmt::format("{:>5} ms  {:<10} release due {}", now_ / kMs, cressrill::word(hold_.state()),
+  return fmt::format("{:>5} ms  {:<10} release due {}", now_ / kMs, cressrill::to_string(hold_.state()),
                      due == kNever ? "never" : fmt::format("at {} ms", due / kMs));
 }
 
--- a/rig/model/hold_model.h
+++ b/rig/model/hold_model.h
@@ -113,7 +113,7 @@
 
   Link& link(const Attempt& attempt) { return links_[static_cast<std::size_t>(attempt.worker)]; }
   const Link& link(const Attempt& attempt) const { return links_[static_cast<std::size_t>(attempt.worker)]; }
-  HoldWorker identity(int worker) const;
+  WorkerRef identity(int worker) const;
   Nanos arrives_by(const Attempt& attempt, Nanos sent) const;
   Nanos next_due() const;
   void pass_until(Nanos until);
