--- a/rig/player.cpp
+++ b/rig/player.cpp
@@ -28,7 +28,8 @@
         crowd_(loop_, day_, record_, [this](std::size_t i) { return router_at(i); }) {
     // Engines stand on addresses of their own; ports are high and fixed, so a second day at once is refused.
     for (std::size_t i = 0; i < day_.engines.size(); ++i)
-      day_.engines[i].address = address(static_cast<std::uint32_t>(11 + i / 200), 1 + i % 200, 19100).text();
+      day_.engines[i].address =
+          address(static_cast<std::uint32_t>(11 + i / 200), 1 + i % 200, 19100).to_string();
   }
 
   std::vector<std::string> run() {
@@ -51,18 +52,19 @@
     routers_[i] = Process(router_commands_[i], fmt::format("{}/log-{}.txt", folder_, day_.routers[i].name));
   }
 
-  io::Task<http::Exchange> call(io::Address at, std::string method, std::string target, std::string body) {
+  io::Task<http::ExchangeResult> call(io::Address at, std::string method, std::string target,
+                                      std::string body) {
     auto pool = std::make_shared<http::Pool>(loop_, at);
-    const std::string text = http::request_text(method, target, at.text(), "", body);
-    auto got = co_await io::within(loop_, loop_.now() + 2 * io::kSecond, http::exchange(pool, text));
-    co_return got ? std::move(*got) : http::Exchange{};
+    const std::string text = http::format_request(method, target, at.to_string(), "", body);
+    auto got = co_await io::with_deadline(loop_, loop_.now() + 2 * io::kSecond, http::exchange(pool, text));
+    co_return got ? std::move(*got) : http::ExchangeResult{};
   }
 
   // Waits until what answers there satisfies the test.
   io::Task<bool> until(io::Address at, std::string target, std::function<bool(const std::string&)> test) {
     const io::Nanos last = loop_.now() + 15 * io::kSecond;
     while (loop_.now() < last) {
-      const http::Exchange got = co_await call(at, "GET", target, "");
+      const http::ExchangeResult got = co_await call(at, "GET", target, "");
       if (got.ok() && got.head.status == 200 && test(got.body)) co_return true;
       co_await loop_.sleep_for(30 * io::kMs);
     }
@@ -71,16 +73,16 @@
 
   io::Task<bool> start_all() {
     std::ofstream(folder_ + "/engines.toml") << engines_file(day_);
-    roster_ =
-        Process({programs_.roster, "--listen", roster_at().text(), "--record", folder_ + "/roster.jsonl"},
-                folder_ + "/log-roster.txt");
+    roster_ = Process(
+        {programs_.roster, "--listen", roster_at().to_string(), "--record", folder_ + "/roster.jsonl"},
+        folder_ + "/log-roster.txt");
     if (!co_await until(roster_at(), "/v1/workers", [](const std::string&) { return true; })) {
       wrong_.push_back("the roster did not start");
       co_return false;
     }
     engines_ = Process(
         {programs_.engine, "--config", folder_ + "/engines.toml", "--record", folder_ + "/engines.jsonl",
-         "--roster", roster_at().text(), "--control", control_at().text()},
+         "--roster", roster_at().to_string(), "--control", control_at().to_string()},
         folder_ + "/log-engines.txt");
     const auto all_listed = [this](const std::string& body) {
       return json::parse(body, nullptr, false)["workers"].size() == day_.engines.size();
@@ -92,8 +94,8 @@
     routers_.resize(day_.routers.size());
     for (std::size_t i = 0; i < day_.routers.size(); ++i) {
       const std::string base = fmt::format("{}/{}", folder_, day_.routers[i].name);
-      std::ofstream(base + ".toml") << router_file(day_, day_.routers[i], router_at(i).text(),
-                                                   admin_at(i).text(), roster_at().text(),
+      std::ofstream(base + ".toml") << router_file(day_, day_.routers[i], router_at(i).to_string(),
+                                                   admin_at(i).to_string(), roster_at().to_string(),
                                                    base + ".last-list");
       router_commands_.push_back(programs_.router);
       router_commands_.back().insert(router_commands_.back().end(), {"--config", base + ".toml"});
@@ -104,7 +106,7 @@
         wrong_.push_back("router " + day_.routers[i].name + " did not start");
         co_return false;
       }
-    const http::Exchange late =
+    const http::ExchangeResult late =
         co_await call(roster_at(), "POST", fmt::format("/late?ms={}", day_.roster_late / io::kMs), "");
     co_return late.ok();
   }
@@ -142,7 +144,7 @@
     }
   }
 
-  core::ListedWorker listed_as(const EngineMake& m, Standing standing) const {
+  core::ListedWorker listed_as(const EngineMake& m, WorkerStatus standing) const {
     return {m.name, m.address, standing, 0, m.kind, m.zone, m.cell};
   }
 
@@ -161,11 +163,11 @@
   }
 
   io::Task<> drain(const EngineMake& m, io::Nanos span) {
-    const std::string out = core::worker_list_text({0, false, {listed_as(m, Standing::draining)}});
+    const std::string out = core::serialize_worker_list({0, false, {listed_as(m, WorkerStatus::draining)}});
     co_await call(roster_at(), "POST", "/v1/workers", out);
     if (span == 0) co_return;
     co_await loop_.sleep_for(span);
-    const std::string back = core::worker_list_text({0, false, {listed_as(m, Standing::ready)}});
+    const std::string back = core::serialize_worker_list({0, false, {listed_as(m, WorkerStatus::ready)}});
     co_await call(roster_at(), "POST", "/v1/workers", back);
   }
 
@@ -176,7 +178,7 @@
         {"size", t.size},
         {"for_ms", t.span / io::kMs},
         {"to", t.to}}.dump();
-    const http::Exchange got = co_await call(control_at(), "POST", "/fault", body);
+    const http::ExchangeResult got = co_await call(control_at(), "POST", "/fault", body);
     if (!got.ok() || got.head.status != 200)
       wrong_.push_back("trouble " + t.kind + " at " + engine + ": " + got.body);
   }
--- a/rig/roster.h
+++ b/rig/roster.h
@@ -30,8 +30,8 @@
     std::size_t told{};
     io::Signal news;
   };
-  io::Task<> serve(http::Request& request, http::Answer& answer);
-  io::Task<> watch(const std::string& router, http::Answer& answer);
+  io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
+  io::Task<> watch(const std::string& router, http::ResponseWriter& answer);
   io::Task<> publish(core::ListedWorker worker, io::Nanos after);
   void note(const std::string& router, const core::WorkerList& list);
 
--- a/rig/soak/clients.cpp
+++ b/rig/soak/clients.cpp
@@ -54,13 +54,13 @@
   if (!door) co_return;
   io::Socket socket;
   const auto made =
-      co_await io::within(loop_, loop_.now() + 1000 * kMs, io::connect(loop_, door->address, socket));
+      co_await io::with_deadline(loop_, loop_.now() + 1000 * kMs, io::connect(loop_, door->address, socket));
   if (!made || !made->ok()) co_return;  // refused: its front deals it out again
   if (between(0, 19) == 0) {
     co_await disturb(socket, *door);
     co_return;
   }
-  http::Reader reader(socket, http::Kind::response);
+  http::MessageReader reader(socket, http::MessageKind::response);
   co_await loop_.sleep_for(manner.waits_for);
   const int requests = manner.stays ? INT_MAX : between(1, 4);
   for (int i = 0; i < requests && !stopping_; ++i) {
@@ -81,12 +81,12 @@
 }
 
 // Whether the connection can be used again.
-io::Task<bool> Clients::ask(io::Socket& socket, http::Reader& reader, const Door& door, bool first) {
+io::Task<bool> Clients::ask(io::Socket& socket, http::MessageReader& reader, const Door& door, bool first) {
   static constexpr const char* kKinds[] = {"chat", "chat", "order", "pay"};
   const std::string id = fmt::format("c{}", ++next_id_), kind = kKinds[between(0, 3)];
   const int budget_ms = between(400, longest_budget_ms_);
   const std::string text = request(id, kind, budget_ms);
-  const io::Nanos began = loop_.fresh_now();
+  const io::Nanos began = loop_.update_now();
   if (!co_await write(socket, text, between(0, 19) == 0)) {
     co_return false;  // the router ended the connection first: it is sent elsewhere, under a new id
   }
@@ -101,7 +101,7 @@
   if (whole) co_return *whole;
   if (departure.leaves) {
     socket.close();
-    loop_.fresh_now();
+    loop_.update_now();
     record_.note("left", {{"id", id}, {"cue", std::string(1, static_cast<char>(departure.cue))}});
   } else {
     record_.note("no_answer", {{"id", id}, {"how", "nothing came"}});
@@ -118,7 +118,7 @@
   if (manner == 0) out.at = loop_.now() + between(1, 400) * kMs;
   if (manner != 1 && manner != 2) return out;
   out.cue = kCues[between(0, 3)];
-  out.after_cue = between(0, 1) == 0 ? 0 : between(0, 2000) * io::kMicro;
+  out.after_cue = between(0, 1) == 0 ? 0 : between(0, 2000) * io::kMicrosecond;
   return out;
 }
 
@@ -130,7 +130,8 @@
 // Whether the connection can be used again, or nothing where its client leaves first.
 io::Task<std::optional<bool>> Clients::until_departure(const std::string& id, Departure& departure,
                                                        io::Task<bool> answer) {
-  if (departure.cue == Cue::none) co_return co_await io::within(loop_, departure.at, std::move(answer));
+  if (departure.cue == Cue::none)
+    co_return co_await io::with_deadline(loop_, departure.at, std::move(answer));
   std::optional<bool> whole;
   io::Signal over(loop_);
   CueWait wait{departure, io::Signal(loop_)};
@@ -164,31 +165,31 @@
 }
 
 // Whether it came to its end, and more may be asked.
-io::Task<bool> Clients::read_answer(http::Reader& reader, const std::string& id, bool first) {
+io::Task<bool> Clients::read_answer(http::MessageReader& reader, const std::string& id, bool first) {
   http::Head head;
-  http::Fault fault = co_await reader.head(head);
-  if (fault != http::Fault::none) {
+  http::MessageError fault = co_await reader.read_head(head);
+  if (fault != http::MessageError::none) {
     // On a kept connection the router's end may have crossed the request, which it has not read then.
-    const bool may_have_crossed = !first && fault == http::Fault::closed;
-    record_.note(may_have_crossed ? "crossed" : "no_answer", {{"id", id}, {"how", http::word(fault)}});
+    const bool may_have_crossed = !first && fault == http::MessageError::closed;
+    record_.note(may_have_crossed ? "crossed" : "no_answer", {{"id", id}, {"how", http::to_string(fault)}});
     co_return false;
   }
   const int status = head.status;
   if (status == 200) record_.note("answer", {{"id", id}, {"status", status}});
-  http::Events events;
+  http::SseParser events;
   int index = 0;
-  while (reader.more()) {
+  while (reader.has_more()) {
     std::span<const std::string_view> pieces;
-    fault = co_await reader.pieces(pieces);
+    fault = co_await reader.read_body_pieces(pieces);
     for (const std::string_view piece : pieces) {
       events.feed(piece);
       while (events.next()) record_.note("event_read", {{"id", id}, {"index", index++}});
     }
-    if (fault != http::Fault::none) break;
+    if (fault != http::MessageError::none) break;
   }
   if (status != 200) record_.note("answer", {{"id", id}, {"status", status}});
-  if (status == 200 && fault != http::Fault::none) record_.note("stream_cut", {{"id", id}});
-  co_return fault == http::Fault::none&& head.keep_alive;
+  if (status == 200 && fault != http::MessageError::none) record_.note("stream_cut", {{"id", id}});
+  co_return fault == http::MessageError::none&& head.keep_alive;
 }
 
 // Owed an error or a close within 3 s.
@@ -198,9 +199,9 @@
       "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-", "GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n"};
   const io::Nanos began = loop_.now();
   co_await socket.write_all(kTexts[static_cast<std::size_t>(between(0, 3))]);
-  http::Reader reader(socket, http::Kind::response);
+  http::MessageReader reader(socket, http::MessageKind::response);
   http::Head head;
-  const auto fault = co_await io::within(loop_, began + 3500 * kMs, reader.head(head));
+  const auto fault = co_await io::with_deadline(loop_, began + 3500 * kMs, reader.read_head(head));
   if (!fault) record_.note("unanswered_disturber", {{"router", door.router}});
 }
 
--- a/rig/soak/clients.h
+++ b/rig/soak/clients.h
@@ -57,12 +57,12 @@
   };
   io::Task<> visit(std::optional<Door> door, Manner manner);
   io::Task<> press_once(Door door, io::Nanos after, Manner manner);
-  io::Task<bool> ask(io::Socket& socket, http::Reader& reader, const Door& door, bool first);
+  io::Task<bool> ask(io::Socket& socket, http::MessageReader& reader, const Door& door, bool first);
   Departure draw_departure();
   io::Task<std::optional<bool>> until_departure(const std::string& id, Departure& departure,
                                                 io::Task<bool> answer);
   io::Task<bool> write(io::Socket& socket, std::string_view text, bool slowly);
-  io::Task<bool> read_answer(http::Reader& reader, const std::string& id, bool first);
+  io::Task<bool> read_answer(http::MessageReader& reader, const std::string& id, bool first);
   io::Task<> disturb(io::Socket& socket, const Door& door);
   std::string request(const std::string& id, const std::string& kind, int budget_ms);
   int between(int from, int to) { return std::uniform_int_distribution<int>(from, to)(random_); }
--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -187,8 +187,8 @@
       w.name = fmt::format("{}-{}", w.reads ? "prefill" : "decode", i);
       w.own = free_address(), w.proxied = free_address();
       start_worker(w);
-      w.proxy = Process({options_.soak_program, "proxy", "--listen", w.proxied.text(), "--target",
-                         w.own.text(), "--seed", std::to_string(random_() >> 1)},
+      w.proxy = Process({options_.soak_program, "proxy", "--listen", w.proxied.to_string(), "--target",
+                         w.own.to_string(), "--seed", std::to_string(random_() >> 1)},
                         in_folder(w.name + "-proxy.log"));
       list(w, "up", 0);
     }
@@ -204,14 +204,14 @@
 
   std::string id_of(const Worker& w) const { return fmt::format("{}-{}", w.name, w.generation); }
   void start_worker(Worker& w) {
-    w.process = Process({options_.soak_program, "worker", "--name", id_of(w), "--listen", w.own.text(),
+    w.process = Process({options_.soak_program, "worker", "--name", id_of(w), "--listen", w.own.to_string(),
                          "--record", in_folder(w.name + ".jsonl"), "--seed", std::to_string(random_() >> 1),
-                         "--cues", cues_.address().text(), w.reads ? "--prefill" : "--decode"},
+                         "--cues", cues_.address().to_string(), w.reads ? "--prefill" : "--decode"},
                         in_folder(w.name + ".log"));
   }
   void list(const Worker& w, const char* state, std::int64_t boot_ms) {
     discovery_.put({{"uid", id_of(w)},
-                    {"endpoint", w.proxied.text()},
+                    {"endpoint", w.proxied.to_string()},
                     {"az", "east"},
                     {"model", w.reads ? "prefill" : "decode"},
                     {"pod_group", 3},
@@ -227,8 +227,8 @@
 
   std::string config_of(const Router& r) const {
     return json{{"name", r.name},
-                {"listen", r.address.text()},
-                {"discovery", discovery_.address(r.agent).text()},
+                {"listen", r.address.to_string()},
+                {"discovery", discovery_.address(r.agent).to_string()},
                 {"seed", fmt::format("{:x}", options_.seed + r.address.port)},
                 {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", kDescriptors}}},
                 {"settings", settings(options_.routers, drawn_)}}
@@ -251,8 +251,8 @@
     while (!r.open) {
       auto pool = std::make_shared<http::Pool>(loop_, r.address);
       const auto got =
-          co_await io::within(loop_, loop_.now() + 500 * kMs,
-                              http::exchange(pool, http::request_text("GET", "/up", "h", "", "")));
+          co_await io::with_deadline(loop_, loop_.now() + 500 * kMs,
+                                     http::exchange(pool, http::format_request("GET", "/up", "h", "", "")));
       r.open = got && got->head.status == 200;
       if (!r.open) co_await loop_.sleep_for(20 * kMs);
       if (!r.process.running()) {
--- a/rig/soak/cue.cpp
+++ b/rig/soak/cue.cpp
@@ -26,7 +26,7 @@
   sockaddr_in out{};
   out.sin_family = AF_INET;
   out.sin_port = htons(address.port);
-  out.sin_addr.s_addr = htonl(address.host);
+  out.sin_addr.s_addr = htonl(address.ip);
   return out;
 }
 
@@ -61,7 +61,7 @@
 io::Task<> CueReceiver::receive() {
   std::array<char, kDatagramBytes> text{};
   for (;;) {
-    const io::Moved got = co_await socket_.read_some(text);
+    const io::IoResult got = co_await socket_.read_some(text);
     if (!got.ok()) co_return;
     if (got.bytes < text.size()) continue;
     const auto id_end = std::find(text.begin() + 1, text.end(), '\0');
--- a/rig/soak/discovery.cpp
+++ b/rig/soak/discovery.cpp
@@ -8,7 +8,7 @@
   for (std::size_t i = 0; i < agents; ++i)
     agents_.push_back(std::make_unique<http::Server>(
         loop, io::Address{INADDR_LOOPBACK, 0},
-        [this](http::Request& request, http::Answer& to) { return answer(request, to); }));
+        [this](http::Request& request, http::ResponseWriter& to) { return answer(request, to); }));
 }
 
 void Discovery::put(json target) {
@@ -30,7 +30,7 @@
   return {{"rev", version_}, {"all", false}, {"targets", changed}};
 }
 
-io::Task<> Discovery::answer(http::Request& request, http::Answer& to) {
+io::Task<> Discovery::answer(http::Request& request, http::ResponseWriter& to) {
   const std::string target(request.head.target);
   const std::size_t index = target.find("index=");
   const bool whole = index == std::string::npos;
@@ -42,7 +42,7 @@
     co_await io::wait_until(loop_, changed_, look_at);
   }
   const json list = whole ? json{{"rev", version_}, {"all", true}, {"targets", all_}} : list_since(since);
-  co_await to.whole(200, "content-type: application/json\r\n", list.dump());
+  co_await to.respond(200, "content-type: application/json\r\n", list.dump());
 }
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/discovery.h
+++ b/rig/soak/discovery.h
@@ -21,7 +21,7 @@
   void silence(bool silent);
 
  private:
-  io::Task<> answer(http::Request& request, http::Answer& to);
+  io::Task<> answer(http::Request& request, http::ResponseWriter& to);
   nlohmann::json list_since(std::uint64_t version) const;
 
   io::Loop& loop_;
--- a/rig/soak/idle_crowd.cpp
+++ b/rig/soak/idle_crowd.cpp
@@ -26,8 +26,8 @@
   if (!address) co_return;
   io::Socket socket;
   const auto made =
-      co_await io::within(loop_, loop_.now() + kConnectWithin, io::connect(loop_, *address, socket));
-  if (made && made->ok()) co_await socket.peer_gone();
+      co_await io::with_deadline(loop_, loop_.now() + kConnectWithin, io::connect(loop_, *address, socket));
+  if (made && made->ok()) co_await socket.wait_for_peer_close();
 }
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/proxy.cpp
+++ b/rig/soak/proxy.cpp
@@ -56,7 +56,7 @@
 io::Task<> Proxy::carry(io::Socket client, std::uint64_t number) {
   const Trouble trouble = draw();
   if (trouble == Trouble::swallowed) {
-    co_await client.peer_gone();
+    co_await client.wait_for_peer_close();
     co_return;
   }
   io::Socket worker;
@@ -84,7 +84,7 @@
                        io::Signal& over, std::uint64_t number, bool towards_worker) {
   std::array<char, 16 * 1024> buffer;
   for (;;) {
-    const io::Moved got = co_await from.read_some(std::span(buffer).subspan(0, most_bytes));
+    const io::IoResult got = co_await from.read_some(std::span(buffer).subspan(0, most_bytes));
     while (!passes(number, towards_worker)) co_await passes_again_.wait();
     const std::size_t bytes = std::min(got.bytes, left);
     left -= bytes;
--- a/rig/soak/worker.h
+++ b/rig/soak/worker.h
@@ -25,11 +25,11 @@
   SoakWorker(io::Loop& loop, const WorkerOptions& options, Recorder& record);
 
  private:
-  io::Task<> serve(http::Request& request, http::Answer& answer);
-  io::Task<> call(const std::string& id, std::uint64_t number, http::Answer& answer);
-  io::Task<bool> fail(const std::string& id, std::uint64_t number, http::Answer& answer);
-  io::Task<> read(const std::string& id, http::Answer& answer);
-  io::Task<> write(const std::string& id, http::Answer& answer);
+  io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
+  io::Task<> call(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
+  io::Task<bool> fail(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
+  io::Task<> read(const std::string& id, http::ResponseWriter& answer);
+  io::Task<> write(const std::string& id, http::ResponseWriter& answer);
   double chance() { return std::uniform_real_distribution<double>()(random_); }
   io::Nanos between(int from_ms, int to_ms) {
     return std::uniform_int_distribution<std::int64_t>(from_ms, to_ms)(random_) * io::kMs;
--- a/router/attempt_guard.h
+++ b/router/attempt_guard.h
@@ -24,7 +24,7 @@
 
 enum class BeginRefusal { none, ended, answered, client_left, worker_drains, deadline_passed, window_passed };
 
-inline const char* word(BeginRefusal refusal) {
+inline const char* to_string(BeginRefusal refusal) {
   static constexpr const char* words[] = {"none",          "ended",           "answered",     "client_left",
                                           "worker_drains", "deadline_passed", "window_passed"};
   return words[static_cast<int>(refusal)];
--- a/router/engine_wire.cpp
+++ b/router/engine_wire.cpp
@@ -19,12 +19,14 @@
   return from.is_object() && from.contains(key) && from[key].is_string() ? from[key].get<std::string>() : "";
 }
 
-static_assert(http::kSlack >= simdjson::SIMDJSON_PADDING);
+static_assert(http::kReadPaddingBytes >= simdjson::SIMDJSON_PADDING);
 
 // The parser of this thread, and a document of it. False where the text is no JSON object.
 bool begin_object(std::string_view text, od::document& document, od::object& object) {
   static thread_local od::parser parser;
-  return !parser.iterate(simdjson::padded_string_view(text.data(), text.size(), text.size() + http::kSlack))
+  return !parser
+              .iterate(simdjson::padded_string_view(text.data(), text.size(),
+                                                    text.size() + http::kReadPaddingBytes))
               .get(document) &&
          !document.get_object().get(object);
 }
@@ -67,8 +69,8 @@
 
 }  // namespace
 
-Report read_load(const http::Head& head) {
-  Report out;
+LoadReport parse_orca_load(const http::Head& head) {
+  LoadReport out;
   const auto field = head.field("endpoint-load-metrics");
   if (!field || !field->starts_with("TEXT ")) return out;
   std::string_view rest = field->substr(5);
@@ -91,48 +93,48 @@
     if (name == "num_requests_running") running = value, counted = true;
     if (name == "num_requests_waiting") waiting = value, counted = true;
   }
-  if (counted) out.sequences = running + waiting;
-  out.heard = counted || out.memory_share >= 0;
+  if (counted) out.requests = running + waiting;
+  out.received = counted || out.memory_share >= 0;
   return out;
 }
 
-Refusal read_refusal(int status, std::string_view body) {
+EngineError parse_error_response(int status, std::string_view body) {
   if (status == 429 || status == 503) return {Outcome::full, false};
   if (status == 409) {
     const json all = parsed(body);
     if (all.is_object() && all.contains("error") && text_at(all["error"], "code") == "kv_state_not_found")
-      return {Outcome::no_state, false};
+      return {Outcome::kv_missing, false};
   }
   const bool fault_of_client = status == 400 || status == 404 || status == 413 || status == 422;
   return {Outcome::error, fault_of_client};
 }
 
-std::optional<ReadAnswer> read_read_answer(std::string_view body) {
-  ReadAnswer out;
+std::optional<PrefillResponse> parse_prefill_response(std::string_view body) {
+  PrefillResponse out;
   Usage usage;
   od::document document;
   od::object object;
   if (!begin_object(body, document, object)) return std::nullopt;
   const bool well = each_member(object, [&](std::string_view key, od::value value) {
     if (key == "usage") return read_usage(value, usage);
-    if (key != "kv_transfer_params") return core::formed(value) == core::Formed::well;
+    if (key != "kv_transfer_params") return core::validate_json(value) == core::JsonValidity::valid;
     od::json_type type{};
     if (value.type().get(type) || type != od::json_type::object) return false;
     // It goes to a writer as it came, so all of it must be JSON.
     const char* begins = std::string_view(value.raw_json_token()).data();
-    if (core::formed(value) != core::Formed::well) return false;
-    out.state = core::text_since(begins, document);
+    if (core::validate_json(value) != core::JsonValidity::valid) return false;
+    out.kv_transfer_params = core::text_since(begins, document);
     return true;
   });
-  if (!well || !core::at_end(document) || out.state.empty()) return std::nullopt;
-  out.kept = usage.kept, out.prompt_tokens = usage.prompt_tokens;
+  if (!well || !core::at_end(document) || out.kv_transfer_params.empty()) return std::nullopt;
+  out.cached_tokens = usage.kept, out.prompt_tokens = usage.prompt_tokens;
   return out;
 }
 
 // An event of a stream comes for every token: read in one pass, without a tree.
 class ChunkReader {
  public:
-  ChunkReader(StreamChunk& chunk, Whole* into) : out_(chunk), into_(into) {}
+  ChunkReader(StreamChunk& chunk, CompletionBuilder* into) : out_(chunk), into_(into) {}
 
   bool member(std::string_view key, od::value value, od::document& document) {
     if (key == "error") out_.error = true;
@@ -153,7 +155,7 @@
     od::array list;
     if (value.get_array().get(list)) return true;
     for (auto item : list) {
-      const bool first = !std::exchange(out_.content, true);
+      const bool first = !std::exchange(out_.has_content, true);
       od::object choice;
       if (into_ == nullptr || !first) break;  // what is not looked at is skipped
       if (item.get_object().get(choice)) return true;
@@ -187,7 +189,7 @@
   // A call comes in parts, told together by its index, which stands first or is 0.
   bool tool(od::object call) {
     std::size_t index = 0;
-    const auto at = [&]() -> Whole::Tool& {
+    const auto at = [&]() -> CompletionBuilder::Tool& {
       if (into_->tools_.size() <= index) into_->tools_.resize(index + 1);
       return into_->tools_[index];
     };
@@ -214,17 +216,17 @@
     if (value.type().get(type) || type != od::json_type::object) return true;
     const char* begins = std::string_view(value.raw_json_token()).data();
     if (!read_usage(value, counts)) return false;
-    out_.kept = counts.kept, out_.prompt_tokens = counts.prompt_tokens;
+    out_.cached_tokens = counts.kept, out_.prompt_tokens = counts.prompt_tokens;
     if (into_ != nullptr) into_->usage_ = core::text_since(begins, document);
     return true;
   }
 
   StreamChunk& out_;
-  Whole* into_;
+  CompletionBuilder* into_;
   bool uses_{};
 };
 
-StreamChunk read_chunk(std::string_view data, Whole* into) {
+StreamChunk parse_chunk(std::string_view data, CompletionBuilder* into) {
   StreamChunk out;
   od::document document;
   od::object object;
@@ -233,12 +235,12 @@
   if (!each_member(
           object, [&](std::string_view key, od::value value) { return reader.member(key, value, document); }))
     return {};
-  out.usage_only = reader.uses() && !out.content;
+  out.usage_only = reader.uses() && !out.has_content;
   out.readable = true;
   return out;
 }
 
-std::string Whole::body(bool chat) const {
+std::string CompletionBuilder::body(bool chat) const {
   json choice{{"index", 0}, {"finish_reason", nullptr}, {"logprobs", nullptr}};
   if (!finish_.empty()) choice["finish_reason"] = finish_;
   if (chat) {
--- a/router/engine_wire.h
+++ b/router/engine_wire.h
@@ -11,37 +11,37 @@
 namespace cressrill::router {
 
 // The load that an engine reports beside an answer: field 'endpoint-load-metrics', the TEXT form of ORCA.
-Report read_load(const http::Head& head);
+LoadReport parse_orca_load(const http::Head& head);
 
 // What a status other than 200 says of the attempt.
-struct Refusal {
+struct EngineError {
   Outcome outcome{};
-  bool for_client{};  // the request itself is at fault: the client gets this answer
+  bool is_client_error{};  // the request itself is at fault: the client gets this answer
 };
-Refusal read_refusal(int status, std::string_view body);
+EngineError parse_error_response(int status, std::string_view body);
 
-struct ReadAnswer {
-  std::string state;  // kv_transfer_params, as it goes to the writer
-  double kept{};
+struct PrefillResponse {
+  std::string kv_transfer_params;  // kv_transfer_params, as it goes to the writer
+  double cached_tokens{};
   double prompt_tokens{};
 };
 // Nothing where it is no answer to a read. body must be followed by http::kSlack readable bytes.
-std::optional<ReadAnswer> read_read_answer(std::string_view body);
+std::optional<PrefillResponse> parse_prefill_response(std::string_view body);
 
 struct StreamChunk {
   bool readable{};
-  bool content{};  // holds a choice: the stream flows
+  bool has_content{};  // holds a choice: the stream flows
   bool usage_only{};
   bool error{};
-  double kept{};
+  double cached_tokens{};
   double prompt_tokens{};
 };
-class Whole;
+class CompletionBuilder;
 // data must be followed by http::kSlack readable bytes. Where into is given, what the chunk holds is added to it.
-StreamChunk read_chunk(std::string_view data, Whole* into = nullptr);
+StreamChunk parse_chunk(std::string_view data, CompletionBuilder* into = nullptr);
 
 // A whole answer, put together from the chunks of a stream.
-class Whole {
+class CompletionBuilder {
  public:
   std::string body(bool chat) const;
   std::size_t bytes() const { return text_.size() + tools_.size() * 64; }
--- a/router/host.h
+++ b/router/host.h
@@ -20,44 +20,44 @@
 
 namespace cressrill::router {
 
-using MakePolicy =
-    std::function<std::unique_ptr<Policy>(const Deployment&, std::uint64_t seed, Nanos now, Actions&)>;
+using PolicyFactory =
+    std::function<std::unique_ptr<Policy>(const PolicySettings&, std::uint64_t seed, Nanos now, Actions&)>;
 
 class Host final : private Actions {
  public:
-  Host(io::Loop& loop, const core::Station& station, core::Log& log, core::Counters& counters,
-       Protocol& protocol, std::uint64_t seed, const MakePolicy& make);
+  Host(io::Loop& loop, const core::RouterConfig& station, core::Log& log, core::Counters& counters,
+       Protocol& protocol, std::uint64_t seed, const PolicyFactory& make);
   ~Host() override;
 
   // One request of a client, from its reading to its last byte.
-  io::Task<> serve(http::Request& request, http::Answer& answer);
-  void listed(const core::WorkerList& list);
+  io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
+  void update_list(const core::WorkerList& list);
   // Discovery was heard, and had nothing new.
-  void list_confirmed() { fleet_.confirm(); }
+  void confirm_list() { fleet_.confirm_current(); }
   void list_failed();
   const Fleet& fleet() const { return fleet_; }
-  std::size_t live() const { return live_; }
+  std::size_t live_requests() const { return live_; }
   // Whether KV cache is being released that nobody else will release, should this process end before.
-  bool releasing() const { return releaser_.owes() || releaser_.telling(); }
+  bool has_pending_releases() const { return releaser_.owes_release() || releaser_.has_open_calls(); }
   // The process ends soon: releases that go on until more is known follow each other closely.
-  void hurry_releases() { releaser_.hurry(); }
+  void expedite_releases() { releaser_.expedite(); }
   // The last steps of the requests in hand, to the log.
-  void write_traces();
+  void log_traces();
   core::Invariants& invariants() { return invariants_; }
   const core::Invariants& invariants() const { return invariants_; }
   // For each worker, what the decisions believe to be out there beside what is out on sockets. The two are the same
   // whenever no input waits to be told.
-  struct Load {
+  struct WorkerLoad {
     std::string worker;
-    Belief believed;
-    int out{};  // attempts whose answer has not begun
+    ExpectedLoad expected;
+    int in_flight{};  // attempts whose answer has not begun
   };
-  std::vector<Load> loads() const;
+  std::vector<WorkerLoad> worker_loads() const;
 
  private:
   // State of one schedule attempt.
-  struct Run {
-    Run(io::Loop& loop, int w, bool r) : worker(w), reads(r), scope(loop) {}
+  struct ActiveAttempt {
+    ActiveAttempt(io::Loop& loop, int w, bool r) : worker(w), reads(r), scope(loop) {}
     int worker;
     bool reads;
     bool out{true};      // the decisions have not been told of its end
@@ -81,93 +81,94 @@
     io::Scope scope;
   };
   // State of one sequence.
-  struct Ask {
-    Ask(io::Loop& loop, Brief b, KvReleaser& releaser, std::shared_ptr<KvLease> lease)
+  struct ActiveRequest {
+    ActiveRequest(io::Loop& loop, RequestInfo b, KvReleaser& releaser, std::shared_ptr<KvLease> lease)
         : brief(std::move(b)), kv(releaser, std::move(lease)), news(loop), drained(loop) {}
     int seq{};
-    Brief brief;
+    RequestInfo brief;
     KvLeaseHandle kv;
-    Talk& talk() { return *kv->talk; }
+    Exchange& talk() { return *kv->exchange; }
     io::Nanos came{};
     io::Nanos abandon_at{};
     io::Signal news;      // for the client's coroutine
     io::Signal drained;   // for the attempt that fills outbox
     std::string outbox;   // events that wait for the client,
     std::string sending;  // and those that are on their way to it
-    Final final{Final::none};
+    RequestOutcome final{RequestOutcome::none};
     bool client_left{};
     io::Nanos client_left_at{};
     Nanos retry_after{};
     bool engine_refused{};  // with an answer that is the client's
     int bound{-1};          // the attempt whose stream the client gets
     int state_run{-1};      // the latest read that left a state
-    std::vector<std::unique_ptr<Run>> runs;
+    std::vector<std::unique_ptr<ActiveAttempt>> runs;
   };
   struct Input {
     enum class What { list, list_failed, came, client_left, began, ended, cache_released, woke } what;
-    std::shared_ptr<Ask> ask;
+    std::shared_ptr<ActiveRequest> ask;
     int attempt{};
     Outcome outcome{};
     double kept{};
-    Report report{};
+    LoadReport report{};
     std::shared_ptr<const core::WorkerList> list;
   };
 
   void send(int seq, int worker, AttemptLimits limits) override;
-  void let_go(int seq) override;
+  void release(int seq) override;
   void cancel(int seq, int attempt) override;
   void reject(int seq, Nanos retry_after) override;
   void abort(int seq) override;
   void subscribe() override {}  // the roster pushes to all that watch it
-  void wake(Nanos after) override;
-  void forget_sequence(int seq) override;
+  void request_wakeup(Nanos after) override;
+  void forget_request(int seq) override;
   void forget_worker(int worker) override { fleet_.forget(worker); }
 
   void put(Input input);
   io::Task<> pump();
   void tell(Input& input);
   void tell_or_end(Input& input) noexcept;
-  void tell_ended(Ask& ask, const Input& input);
-  std::shared_ptr<Ask> take(Brief brief, std::unique_ptr<Talk> talk, io::Nanos came);
-  io::Task<> converse(std::shared_ptr<Ask> ask, http::Answer& answer);
-  io::Task<> watch_client(std::shared_ptr<Ask> ask, http::Answer& answer);
-  bool leave(const std::shared_ptr<Ask>& ask);
-  void client_left(const std::shared_ptr<Ask>& ask, http::Answer& answer);
-  io::Task<> conclude(Ask& ask, http::Answer& answer, bool begun);
-  void settle(Ask& ask, Final final);
-  const std::string& type_name(const Ask& ask) const;
+  void tell_ended(ActiveRequest& ask, const Input& input);
+  std::shared_ptr<ActiveRequest> take(RequestInfo brief, std::unique_ptr<Exchange> talk, io::Nanos came);
+  io::Task<> converse(std::shared_ptr<ActiveRequest> ask, http::ResponseWriter& answer);
+  io::Task<> watch_client(std::shared_ptr<ActiveRequest> ask, http::ResponseWriter& answer);
+  bool leave(const std::shared_ptr<ActiveRequest>& ask);
+  void client_left(const std::shared_ptr<ActiveRequest>& ask, http::ResponseWriter& answer);
+  io::Task<> conclude(ActiveRequest& ask, http::ResponseWriter& answer, bool begun);
+  void settle(ActiveRequest& ask, RequestOutcome final);
+  const std::string& type_name(const ActiveRequest& ask) const;
 
-  void end(Ask& ask, int k, Outcome outcome, double kept = 0, const Report& report = {});
-  io::Task<> attempt(std::shared_ptr<Ask> ask, int k);
-  io::Task<> contained(std::shared_ptr<Ask> ask, int k, io::Task<> work);
-  AttemptFacts facts(const Ask& ask, const Run& run) const;
-  bool may_begin(const Ask& ask, const Run& run);
-  void check_begun(const Ask& ask, const Run& run, io::Nanos told);
+  void end(ActiveRequest& ask, int k, Outcome outcome, double kept = 0, const LoadReport& report = {});
+  io::Task<> attempt(std::shared_ptr<ActiveRequest> ask, int k);
+  io::Task<> contained(std::shared_ptr<ActiveRequest> ask, int k, io::Task<> work);
+  AttemptFacts facts(const ActiveRequest& ask, const ActiveAttempt& run) const;
+  bool may_begin(const ActiveRequest& ask, const ActiveAttempt& run);
+  void check_begun(const ActiveRequest& ask, const ActiveAttempt& run, io::Nanos told);
   io::Nanos answer_margin() const;
-  Try described(const Ask& ask, int k) const;
-  io::Task<io::Moved> send_to(Ask& ask, int k, http::Connection& connection);
-  io::Task<> out_of_time(std::shared_ptr<Ask> ask, int k);
-  io::Task<> out_of_life(std::shared_ptr<Ask> ask, int k);
-  void answered(Ask& ask, int k, const http::Head& head, std::string body, const Report& report);
-  io::Task<bool> stream(Ask& ask, int k, http::Connection& connection, const Report& report);
-  io::Task<> wait_for_client(Ask& ask, Run& run);
-  void release(Ask& ask, int k);
-  void note_kv(Ask& ask, HoldEvent event, int k = -1);
-  void end_lease(Ask& ask);
-  void trace(Ask& ask, Step step, int k = -1, const char* detail = "", std::size_t bytes = 0);
+  AttemptInfo described(const ActiveRequest& ask, int k) const;
+  io::Task<io::IoResult> send_to(ActiveRequest& ask, int k, http::Connection& connection);
+  io::Task<> out_of_time(std::shared_ptr<ActiveRequest> ask, int k);
+  io::Task<> out_of_life(std::shared_ptr<ActiveRequest> ask, int k);
+  void answered(ActiveRequest& ask, int k, const http::Head& head, std::string body,
+                const LoadReport& report);
+  io::Task<bool> stream(ActiveRequest& ask, int k, http::Connection& connection, const LoadReport& report);
+  io::Task<> wait_for_client(ActiveRequest& ask, ActiveAttempt& run);
+  void release_prefill(ActiveRequest& ask, int k);
+  void note_kv(ActiveRequest& ask, HoldEvent event, int k = -1);
+  void end_lease(ActiveRequest& ask);
+  void trace(ActiveRequest& ask, TraceStep step, int k = -1, const char* detail = "", std::size_t bytes = 0);
   void cache_released(const KvLease& lease);
 
   io::Loop& loop_;
-  const core::Station& station_;
+  const core::RouterConfig& station_;
   core::Log& log_;
   core::Counters& counters_;
   Protocol& protocol_;
-  const Protocol::Manner manner_;
+  const Protocol::Traits manner_;
   core::Invariants invariants_;
   Fleet fleet_;
   TraceWriter traces_;
-  KvReleaser releaser_;                     // outlives the requests, which report to it as they go
-  std::vector<std::shared_ptr<Ask>> asks_;  // by small index
+  KvReleaser releaser_;                               // outlives the requests, which report to it as they go
+  std::vector<std::shared_ptr<ActiveRequest>> asks_;  // by small index
   std::vector<int> free_;
   std::size_t live_{};
   std::vector<Input> inbox_;
--- a/router/kv_lease.h
+++ b/router/kv_lease.h
@@ -16,20 +16,24 @@
 namespace cressrill::router {
 
 struct KvLease {
-  KvLease(io::Loop& loop, io::Nanos limit, std::string request_id, std::unique_ptr<Talk> request_talk)
-      : id(std::move(request_id)), talk(std::move(request_talk)), hold(limit), changed(loop), settled(loop) {}
+  KvLease(io::Loop& loop, io::Nanos limit, std::string request_id, std::unique_ptr<Exchange> request_talk)
+      : id(std::move(request_id)),
+        exchange(std::move(request_talk)),
+        hold(limit),
+        changed(loop),
+        settled(loop) {}
 
   static constexpr std::size_t kNotOwned = static_cast<std::size_t>(-1);
 
   std::string id;  // of the request
-  std::unique_ptr<Talk> talk;
+  std::unique_ptr<Exchange> exchange;
   KvHold hold;
   RequestTrace trace;
-  std::vector<HoldWorker> prefilled_at;  // told of a release whatever the list says of them
-  std::size_t slot{kNotOwned};           // among the releaser's leases
-  io::Nanos due_at{kNever};              // when it is looked at next
-  io::Nanos over_at{};                   // when the request ended
-  io::Nanos asked_at{};                  // when its latest release began
+  std::vector<WorkerRef> prefilled_at;  // told of a release whatever the list says of them
+  std::size_t slot{kNotOwned};          // among the releaser's leases
+  io::Nanos due_at{kNever};             // when it is looked at next
+  io::Nanos over_at{};                  // when the request ended
+  io::Nanos asked_at{};                 // when its latest release began
   int releases_confirmed{};
   int calls_open{};    // of the release that goes on: those that a worker may still hear, timed out or not
   bool releasing{};    // a task of the releaser has it
--- a/router/kv_releaser.cpp
+++ b/router/kv_releaser.cpp
@@ -31,7 +31,7 @@
       limit_(limit),
       released_(std::move(released)),
       earlier_due_(loop),
-      clock_(loop, io::Scope::Failure::ends_program),
+      clock_(loop, io::Scope::OnException::end_process),
       tasks_(loop),
       calls_(loop) {
   clock_.spawn(watch_due());
@@ -39,16 +39,16 @@
 
 void KvReleaser::note(const std::shared_ptr<KvLease>& lease, HoldEvent event) {
   const HoldState before = lease->hold.state();
-  const bool possible = lease->hold.note(event, loop_.now());
+  const bool possible = lease->hold.record(event, loop_.now());
   noted(lease, event, before, possible);
 }
 
 void KvReleaser::note_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt, int worker,
                               io::Nanos runs_for) {
   const HoldState before = lease->hold.state();
-  const HoldWorker at{worker, fleet_.at(worker).identity};
+  const WorkerRef at{worker, fleet_.at(worker).identity};
   if (event == HoldEvent::prefill_written) lease->prefilled_at.push_back(at);
-  const bool possible = lease->hold.note_attempt(event, loop_.now(), attempt, at, runs_for);
+  const bool possible = lease->hold.record_attempt(event, loop_.now(), attempt, at, runs_for);
   noted(lease, event, before, possible, attempt, worker);
 }
 
@@ -57,30 +57,30 @@
                        bool possible, int attempt, int worker) {
   const KvHold& hold = lease->hold;
   lease->trace.add({.at = loop_.now(),
-                    .step = Step::kv_event,
+                    .step = TraceStep::kv_event,
                     .kv = hold.state(),
                     .attempt = static_cast<std::int16_t>(attempt),
                     .worker = worker,
-                    .detail = word(event)});
+                    .detail = to_string(event)});
   invariants_.check(core::Invariant::kv_transition, possible, lease->id);
   if (!possible) {
     log_.error("transition not allowed",
-               {{"request", lease->id}, {"state", word(before)}, {"event", word(event)}});
-    traces_.write_all_the_same(lease->id, lease->trace, "transition not allowed");
+               {{"request", lease->id}, {"state", to_string(before)}, {"event", to_string(event)}});
+    traces_.write_unthrottled(lease->id, lease->trace, "transition not allowed");
   }
-  if (hold.owed()) keep(lease);
-  invariants_.check(core::Invariant::kv_has_owner, !hold.owed() || lease->slot != KvLease::kNotOwned,
+  if (hold.needs_release()) keep(lease);
+  invariants_.check(core::Invariant::kv_has_owner, !hold.needs_release() || lease->slot != KvLease::kNotOwned,
                     lease->id);
-  if (!hold.release_comes_first()) lease->settled.notify();
+  if (!hold.release_precedes_prefill()) lease->settled.notify();
   if (lease->releasing) return lease->changed.notify();
-  if ((hold.request_over() && hold.owed()) || hold.release_due() <= loop_.now()) return begin(lease);
-  if (hold.owed()) return watch(lease);
+  if ((hold.request_over() && hold.needs_release()) || hold.release_due() <= loop_.now()) return begin(lease);
+  if (hold.needs_release()) return watch(lease);
   drop_if_free(lease);
 }
 
 io::Task<> KvReleaser::release_first(std::shared_ptr<KvLease> lease) {
-  const io::Nanos until = loop_.now() + pause_before_next_call(limit_, 0);
-  while (lease->hold.release_comes_first() && loop_.now() < until)
+  const io::Nanos until = loop_.now() + delay_before_next_call(limit_, 0);
+  while (lease->hold.release_precedes_prefill() && loop_.now() < until)
     co_await io::wait_until(loop_, lease->settled, until);
 }
 
@@ -91,7 +91,7 @@
 }
 
 void KvReleaser::request_gone(const std::shared_ptr<KvLease>& lease) {
-  if (!cancelled_ && lease->hold.owed()) note(lease, HoldEvent::request_gone);
+  if (!cancelled_ && lease->hold.needs_release()) note(lease, HoldEvent::request_gone);
 }
 
 void KvLeaseHandle::request_over() { releaser_.request_over(lease_); }
@@ -107,7 +107,7 @@
 }
 
 void KvReleaser::drop_if_free(const std::shared_ptr<KvLease>& lease) {
-  if (lease->slot == KvLease::kNotOwned || lease->hold.owed() || lease->releasing) return;
+  if (lease->slot == KvLease::kNotOwned || lease->hold.needs_release() || lease->releasing) return;
   leases_.back()->slot = lease->slot;
   std::swap(leases_[lease->slot], leases_.back());
   lease->slot = KvLease::kNotOwned;
@@ -142,7 +142,7 @@
 void KvReleaser::look_at(const std::shared_ptr<KvLease>& lease) {
   gather_evidence(*lease);
   const KvHold& hold = lease->hold;
-  if (!hold.owed()) return drop_if_free(lease);
+  if (!hold.needs_release()) return drop_if_free(lease);
   if (hold.release_due() > loop_.now()) return watch(lease);
   if (hold.state() == HoldState::held) traces_.write(lease->id, lease->trace, "held for most of its limit");
   begin(lease);
@@ -155,9 +155,9 @@
 
 // Where each call has failed at once, no worker is there that could hear one, and the limit's end is waited for at most. A
 // request that ends late has time for a call all the same.
-bool KvReleaser::owes() const {
+bool KvReleaser::owes_release() const {
   return std::ranges::any_of(leases_, [&](const auto& lease) {
-    if (!lease->hold.owed()) return false;
+    if (!lease->hold.needs_release()) return false;
     const bool time_is_left = !hurries() || loop_.now() < hurries_until_ ||
                               loop_.now() < lease->over_at + release_call_timeout(limit_);
     const bool may_be_heard = loop_.now() < lease->hold.limit_ends() || lease->calls_open > 0;
@@ -165,7 +165,7 @@
   });
 }
 
-void KvReleaser::hurry() {
+void KvReleaser::expedite() {
   if (!hurries()) hurries_until_ = loop_.now() + kHurriedFor;
   for (const auto& lease : leases_) lease->changed.notify();
 }
@@ -179,21 +179,21 @@
 
 // Evidence.
 
-const Link* KvReleaser::find(const HoldWorker& worker) const {
-  const Link* link = fleet_.find(worker.index);
+const WorkerEntry* KvReleaser::find(const WorkerRef& worker) const {
+  const WorkerEntry* link = fleet_.find(worker.index);
   return link != nullptr && link->identity == worker.identity ? link : nullptr;
 }
 
 // What calls of other requests have told of the workers of this one's attempts.
 void KvReleaser::gather_evidence(KvLease& lease) {
-  std::vector<HoldWorker> awaited;
-  lease.hold.each_awaited_worker([&](const HoldWorker& worker) { awaited.push_back(worker); });
-  for (const HoldWorker& worker : awaited) {
-    const Link* link = find(worker);
+  std::vector<WorkerRef> awaited;
+  lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) { awaited.push_back(worker); });
+  for (const WorkerRef& worker : awaited) {
+    const WorkerEntry* link = find(worker);
     if (link == nullptr)
       lease.hold.worker_gone(worker.identity, loop_.now());
     else
-      lease.hold.worker_answered({worker.identity, link->answered_call, link->heard});
+      lease.hold.worker_answered({worker.identity, link->answered_call_written_at, link->last_heard});
   }
 }
 
@@ -205,7 +205,7 @@
   return std::min(due, lease.asked_at + kHurriedPause);
 }
 
-io::Nanos KvReleaser::pause_after(int calls) const { return pause_before_next_call(limit_, calls); }
+io::Nanos KvReleaser::pause_after(int calls) const { return delay_before_next_call(limit_, calls); }
 
 // An exception ends this release and not the lease.
 io::Task<> KvReleaser::release(std::shared_ptr<KvLease> lease) {
@@ -216,14 +216,14 @@
     thrown = std::current_exception();
   }
   lease->releasing = false;
-  if (thrown) loop_.task_failed(thrown);
-  if (lease->hold.owed()) watch(lease, thrown ? loop_.now() + pause_after(0) : 0);
+  if (thrown) loop_.report_task_failure(thrown);
+  if (lease->hold.needs_release()) watch(lease, thrown ? loop_.now() + pause_after(0) : 0);
   drop_if_free(lease);
 }
 
 io::Task<> KvReleaser::release_until_free(const std::shared_ptr<KvLease>& lease) {
   const KvHold& hold = lease->hold;
-  while (hold.owed()) {
+  while (hold.needs_release()) {
     gather_evidence(*lease);
     const io::Nanos due = next_release_at(*lease);
     if (loop_.now() < due) {
@@ -231,15 +231,15 @@
       co_await io::wait_until(loop_, lease->changed, due);
       continue;
     }
-    const bool ordered = hold.wanted();  // by the decisions, which know of it
+    const bool ordered = hold.release_wanted();  // by the decisions, which know of it
     lease->asked_at = loop_.now();
     note(lease, HoldEvent::release_asked);
-    counters_.release_asked();
+    counters_.count_release_requested();
     const std::optional<io::Nanos> written = co_await tell_until_confirmed(*lease);
     if (written) {
       confirmed(lease, *written, ordered);
     } else if (hold.state() == HoldState::releasing) {
-      counters_.release_given_up();
+      counters_.count_release_abandoned();
       traces_.write(lease->id, lease->trace, "no worker has confirmed a release");
       note(lease, HoldEvent::release_given_up);
     }
@@ -252,7 +252,7 @@
   ++lease->releases_confirmed;
   const bool nothing_to_take = lease->hold.release_confirmed(written);
   noted(lease, HoldEvent::release_confirmed, before, true);
-  counters_.release_confirmed();
+  counters_.count_release_confirmed();
   if (!lease->hold.request_over() && !ordered && nothing_to_take) released_(*lease);
 }
 
@@ -264,7 +264,7 @@
   if (passed_by <= 0) return;
   lease.violated = true;
   invariants_.check(core::Invariant::kv_released_in_time, false, lease.id, passed_by / io::kMs);
-  traces_.write_all_the_same(lease.id, lease.trace, "held too long");
+  traces_.write_unthrottled(lease.id, lease.trace, "held too long");
 }
 
 // Calls that are not answered soon stay open beside the next ones. Whatever makes the release needless, an answer of an
@@ -275,12 +275,12 @@
   lease.calls_open = 0;
   io::Scope calls(loop_);
   const auto over = [&] { return confirmed.has_value() || lease.hold.state() != HoldState::releasing; };
-  const io::Nanos until = loop_.now() + kReleaseTriedFor;
+  const io::Nanos until = loop_.now() + kReleaseGiveUpAfter;
   while (loop_.now() < until) {
     std::vector<ReleaseCandidate> workers = candidates(lease);
-    for (ReleaseCandidate& candidate : workers) candidate.told = made.told[candidate.worker];
+    for (ReleaseCandidate& candidate : workers) candidate.calls_made = made.told[candidate.worker];
     if (!workers.empty()) {
-      const ReleaseCandidate& next = next_to_tell(workers);
+      const ReleaseCandidate& next = next_release_target(workers);
       ++made.told[next.worker], ++made.count;
       ++lease.calls_open;
       calls.spawn(tell(lease, next.worker, needs_new_connection(next), made, confirmed));
@@ -296,14 +296,14 @@
 
 io::Task<> KvReleaser::tell(KvLease& lease, int worker, bool on_new_connection, ReleaseCalls& made,
                             std::optional<io::Nanos>& confirmed) {
-  const Link* link = fleet_.find(worker);
+  const WorkerEntry* link = fleet_.find(worker);
   if (link == nullptr) {  // forgotten since it was chosen
     --lease.calls_open;
     co_return;
   }
-  const HoldWorker told{worker, link->identity};
+  const WorkerRef told{worker, link->identity};
   lease.trace.add({.at = loop_.now(),
-                   .step = Step::release_told,
+                   .step = TraceStep::release_told,
                    .kv = lease.hold.state(),
                    .worker = worker,
                    .detail = on_new_connection ? "new connection" : "any connection"});
@@ -313,16 +313,16 @@
     written = loop_.now();
     return lease.hold.state() == HoldState::releasing;
   };
-  const auto answer = co_await io::within(
+  const auto answer = co_await io::with_deadline(
       loop_, loop_.now() + release_call_timeout(limit_),
-      http::exchange(link->pool, lease.talk->release(0, link->listed.address), still_wanted,
+      http::exchange(link->pool, lease.exchange->release_request(0, link->listed.address), still_wanted,
                      on_new_connection ? http::Reuse::never : http::Reuse::allowed, http::Priority::release));
   if (answer) --lease.calls_open;
-  if (answer && answer->crowded) --made.told[worker], --made.count;  // nobody was told
+  if (answer && answer->at_capacity) --made.told[worker], --made.count;  // nobody was told
   if (!answer || !answer->ok() || answer->head.status / 100 != 2) co_return;
-  if (find(told) != nullptr) fleet_.at(worker).answered(written, loop_.now());
+  if (find(told) != nullptr) fleet_.at(worker).record_answer(written, loop_.now());
   lease.trace.add(
-      {.at = loop_.now(), .step = Step::release_heard, .kv = lease.hold.state(), .worker = worker});
+      {.at = loop_.now(), .step = TraceStep::release_heard, .kv = lease.hold.state(), .worker = worker});
   confirmed = written;
   lease.changed.notify();
 }
@@ -331,37 +331,37 @@
 std::vector<ReleaseCandidate> KvReleaser::candidates(const KvLease& lease) const {
   std::vector<ReleaseCandidate> out;
   const auto add = [&](int worker) {
-    const Link& link = fleet_.at(worker);
-    const bool heard_lately = link.heard > 0 && loop_.now() - link.heard <= limit_;
+    const WorkerEntry& link = fleet_.at(worker);
+    const bool heard_lately = link.last_heard > 0 && loop_.now() - link.last_heard <= limit_;
     return &out.emplace_back(ReleaseCandidate{.worker = worker,
-                                              .heard = link.heard,
-                                              .connected = heard_lately && link.pool->has_rested(),
-                                              .drains = link.not_ready_since > 0});
+                                              .last_heard = link.last_heard,
+                                              .has_connection = heard_lately && link.pool->has_reusable(),
+                                              .draining = link.not_ready_since > 0});
   };
-  for (const int worker : fleet_.running()) add(worker);
-  const auto candidate = [&](const HoldWorker& worker) {
+  for (const int worker : fleet_.running_workers()) add(worker);
+  const auto candidate = [&](const WorkerRef& worker) {
     const auto listed = std::ranges::find(out, worker.index, &ReleaseCandidate::worker);
     return listed != out.end() ? &*listed : add(worker.index);
   };
-  for (const HoldWorker& worker : lease.prefilled_at)
+  for (const WorkerRef& worker : lease.prefilled_at)
     if (find(worker) != nullptr) candidate(worker);
   const bool wants_proof = hurries_until_ != kNever || lease.releases_confirmed >= kReleasesBeforeProof;
   if (!wants_proof) return out;
-  lease.hold.each_awaited_worker([&](const HoldWorker& worker) {
-    if (find(worker) != nullptr) candidate(worker)->awaited = true;
+  lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) {
+    if (find(worker) != nullptr) candidate(worker)->has_unresolved_attempt = true;
   });
   return out;
 }
 
 void KvReleaser::release_at(int worker, std::string text) {
-  counters_.release_asked();
+  counters_.count_release_requested();
   calls_.spawn(tell_at(fleet_.at(worker).pool, std::move(text)));
 }
 
 io::Task<> KvReleaser::tell_at(std::shared_ptr<http::Pool> pool, std::string text) {
   // Told again for a while: a reader that cannot be reached may be busy, or gone with all that it held.
   for (int i = 0; i < 4; ++i) {
-    const auto told = co_await io::within(loop_, loop_.now() + limit_ / 4, http::exchange(pool, text));
+    const auto told = co_await io::with_deadline(loop_, loop_.now() + limit_ / 4, http::exchange(pool, text));
     if (told && told->ok()) co_return;
     co_await loop_.sleep_for(limit_ / 20);
   }
--- a/router/kv_releaser.h
+++ b/router/kv_releaser.h
@@ -28,7 +28,7 @@
              std::function<void(const KvLease&)> released);
 
   // For a request that is taken. Costs nothing until its first prefill is written.
-  std::shared_ptr<KvLease> open_lease(std::string request_id, std::unique_ptr<Talk> talk) const {
+  std::shared_ptr<KvLease> open_lease(std::string request_id, std::unique_ptr<Exchange> talk) const {
     return std::make_shared<KvLease>(loop_, limit_, std::move(request_id), std::move(talk));
   }
   // An event of that request, or of one of its attempts, at this moment.
@@ -42,14 +42,14 @@
   // Waits a moment for a release that is to come before a further prefill.
   io::Task<> release_first(std::shared_ptr<KvLease> lease);
   // Whether this process still owes a release that may reach a worker: nobody else will see to it, should it end before.
-  bool owes() const;
+  bool owes_release() const;
   // The process ends soon: releases that go on until more is known follow each other closely, and are not owed for long.
-  void hurry();
+  void expedite();
 
   // Where each prefill's KV cache is released at its own worker: tells that one, some times.
   void release_at(int worker, std::string text);
   // Whether such a call is under way.
-  bool telling() const { return !calls_.empty(); }
+  bool has_open_calls() const { return !calls_.empty(); }
   // Leases of requests that are still reported end with this; nothing more is released.
   void cancel();
 
@@ -80,7 +80,7 @@
   io::Task<> tell(KvLease& lease, int worker, bool on_new_connection, ReleaseCalls& made,
                   std::optional<io::Nanos>& confirmed);
   std::vector<ReleaseCandidate> candidates(const KvLease& lease) const;
-  const Link* find(const HoldWorker& worker) const;
+  const WorkerEntry* find(const WorkerRef& worker) const;
   void gather_evidence(KvLease& lease);
   io::Task<> tell_at(std::shared_ptr<http::Pool> pool, std::string text);
 
--- a/router/openai.h
+++ b/router/openai.h
@@ -8,19 +8,20 @@
 
 class OpenAi final : public Protocol {
  public:
-  explicit OpenAi(const core::Station& station) : station_(station) {}
-  Manner manner() const override { return {}; }
-  std::variant<std::unique_ptr<Talk>, Reply> read(http::Request& request, Brief& to) override;
+  explicit OpenAi(const core::RouterConfig& station) : station_(station) {}
+  Traits traits() const override { return {}; }
+  std::variant<std::unique_ptr<Exchange>, Reply> open_exchange(http::Request& request,
+                                                               RequestInfo& to) override;
   std::string_view stream_fields() const override;
-  Report load(const http::Head& head) const override;
-  Report load(std::string_view) const override { return {}; }
+  LoadReport parse_load_report(const http::Head& head) const override;
+  LoadReport parse_load_report(std::string_view) const override { return {}; }
   // The body of GET /v1/models.
   std::string models() const;
 
  private:
-  class Sequence;
-  const core::Station& station_;
-  core::TokenEstimate estimate_;
+  class CompletionExchange;
+  const core::RouterConfig& station_;
+  core::TokenEstimator estimate_;
   std::uint64_t serial_{};
 };
 
--- a/router/request_trace.h
+++ b/router/request_trace.h
@@ -11,7 +11,7 @@
 
 namespace cressrill::router {
 
-enum class Step : std::uint8_t {
+enum class TraceStep : std::uint8_t {
   taken,
   decided,        // an attempt at a worker
   connected,      // stood: how long its connection had been kept unused; negative: a new one
@@ -30,11 +30,11 @@
 
 struct TraceEntry {
   io::Nanos at{};
-  Step step{};
+  TraceStep step{};
   HoldState kv{};  // after it
   std::int16_t attempt{-1};
   int worker{-1};
-  io::Nanos stood{};
+  io::Nanos idle_time{};
   std::size_t bytes{};
   const char* detail{""};  // a literal
 };
@@ -48,7 +48,7 @@
   std::size_t dropped() const { return added_ > kKept ? added_ - kKept : 0; }
   // Calls take with each entry, the oldest first.
   template <class Take>
-  void each(Take take) const {
+  void for_each(Take take) const {
     for (std::size_t i = dropped(); i < added_; ++i) take(entries_[i % kKept]);
   }
 
--- a/router/roster_client.h
+++ b/router/roster_client.h
@@ -7,7 +7,7 @@
 
 class RosterClient {
  public:
-  RosterClient(io::Loop& loop, const core::Station& station, core::Log& log, Host& host);
+  RosterClient(io::Loop& loop, const core::RouterConfig& station, core::Log& log, Host& host);
 
  private:
   io::Task<> watch();
@@ -16,7 +16,7 @@
   void read_last();
   void keep_last();
   io::Loop& loop_;
-  const core::Station& station_;
+  const core::RouterConfig& station_;
   core::Log& log_;
   Host& host_;
   core::WorkerList last_;
--- a/router/start_times.h
+++ b/router/start_times.h
@@ -15,13 +15,13 @@
  public:
   // What the wall clock of this machine shows at monotonic zero, as read now. It changes with each step, and the least of
   // all that were seen places a start latest.
-  void note_wall_offset(Nanos offset) { least_offset_ = std::min(least_offset_, offset); }
+  void record_wall_offset(Nanos offset) { least_offset_ = std::min(least_offset_, offset); }
   // The list in force was current then: a start that it does not name came later, or was known to discovery later.
-  void note_current(Nanos now) { current_at_ = now; }
+  void record_current(Nanos now) { current_at_ = now; }
 
   // A start that is told now, as Unix time. A process that has just begun knows no list that was current before, and can
   // only believe the wall clock: then a start lies anywhere in the past.
-  Nanos place(Nanos boot, Nanos now) const {
+  Nanos to_monotonic(Nanos boot, Nanos now) const {
     const Nanos placed = std::min(now, boot - least_offset_);
     const bool too_early = current_at_ > 0 && placed < current_at_ - kNoticeLag;
     return std::max<Nanos>(1, too_early ? now : placed);
--- a/router/trace_writer.cpp
+++ b/router/trace_writer.cpp
@@ -15,29 +15,29 @@
 }
 
 void TraceWriter::write(std::string_view request, const RequestTrace& trace, const char* reason) {
-  if (admit()) write_all_the_same(request, trace, reason);
+  if (admit()) write_unthrottled(request, trace, reason);
 }
 
-void TraceWriter::write_all_the_same(std::string_view request, const RequestTrace& trace,
-                                     const char* reason) {
+void TraceWriter::write_unthrottled(std::string_view request, const RequestTrace& trace, const char* reason) {
   log_.warn("request trace", {{"request", request},
                               {"reason", reason},
                               {"steps_dropped", trace.dropped()},
                               {"traces_withheld", std::exchange(withheld_, 0)}});
   const io::Nanos now = loop_.now();
-  trace.each([&](const TraceEntry& entry) {
-    const Link* link = entry.worker < 0 ? nullptr : fleet_.find(entry.worker);
-    log_.warn("request step", {{"request", request},
-                               {"ms_ago", (now - entry.at) / io::kMs},
-                               {"step", kStepNames[static_cast<std::size_t>(entry.step)]},
-                               {"detail", entry.detail},
-                               {"kv", word(entry.kv)},
-                               {"attempt", entry.attempt},
-                               {"worker", link == nullptr ? std::string_view{} : link->listed.name},
-                               {"worker_heard_ms_ago",
-                                link == nullptr || link->heard == 0 ? -1 : (now - link->heard) / io::kMs},
-                               {"connection_stood_ms", entry.stood < 0 ? -1 : entry.stood / io::kMs},
-                               {"bytes", entry.bytes}});
+  trace.for_each([&](const TraceEntry& entry) {
+    const WorkerEntry* link = entry.worker < 0 ? nullptr : fleet_.find(entry.worker);
+    log_.warn("request step",
+              {{"request", request},
+               {"ms_ago", (now - entry.at) / io::kMs},
+               {"step", kStepNames[static_cast<std::size_t>(entry.step)]},
+               {"detail", entry.detail},
+               {"kv", to_string(entry.kv)},
+               {"attempt", entry.attempt},
+               {"worker", link == nullptr ? std::string_view{} : link->listed.name},
+               {"worker_heard_ms_ago",
+                link == nullptr || link->last_heard == 0 ? -1 : (now - link->last_heard) / io::kMs},
+               {"connection_stood_ms", entry.idle_time < 0 ? -1 : entry.idle_time / io::kMs},
+               {"bytes", entry.bytes}});
   });
 }
 
--- a/router/trace_writer.h
+++ b/router/trace_writer.h
@@ -15,7 +15,7 @@
   // reason: why it is written. Past a rate of traces it is only counted, and the next one tells how many were.
   void write(std::string_view request, const RequestTrace& trace, const char* reason);
   // At an operator's asking: not bounded by the rate.
-  void write_all_the_same(std::string_view request, const RequestTrace& trace, const char* reason);
+  void write_unthrottled(std::string_view request, const RequestTrace& trace, const char* reason);
 
  private:
   bool admit();
--- a/simhost/frame.cpp
+++ b/simhost/frame.cpp
@@ -13,7 +13,7 @@
 }
 }  // namespace
 
-std::uint64_t Bytes::number(std::size_t at, int width) const {
+std::uint64_t ByteView::unsigned_at(std::size_t at, int width) const {
   if (at + static_cast<std::size_t>(width) > size_)
     throw WireError(name_ + ": ends before byte " + std::to_string(at + static_cast<std::size_t>(width)));
   std::uint64_t value = 0;
@@ -21,13 +21,13 @@
   return value;
 }
 
-double Bytes::f64(std::size_t at) const { return std::bit_cast<double>(number(at, 8)); }
+double ByteView::f64_at(std::size_t at) const { return std::bit_cast<double>(unsigned_at(at, 8)); }
 
-double Bytes::f32(std::size_t at) const {
-  return std::bit_cast<float>(static_cast<std::uint32_t>(number(at, 4)));
+double ByteView::f32_at(std::size_t at) const {
+  return std::bit_cast<float>(static_cast<std::uint32_t>(unsigned_at(at, 4)));
 }
 
-Bytes Bytes::part(std::uint64_t at, std::uint64_t size, const std::string& name) const {
+ByteView ByteView::slice(std::uint64_t at, std::uint64_t size, const std::string& name) const {
   if (at > size_ || size > size_ - at)
     throw WireError(name + ": bytes " + std::to_string(at) + " to " + std::to_string(at + size) +
                     " lie outside " + name_ + " of " + std::to_string(size_) + " bytes");
@@ -39,7 +39,7 @@
   in.read(reinterpret_cast<char*>(head), 4);
   if (in.gcount() == 0) return false;
   if (in.gcount() < 4) throw WireError("batch length: input ends inside it");
-  const auto size = static_cast<std::uint32_t>(Bytes(head, 4, "batch length").number(0, 4));
+  const auto size = static_cast<std::uint32_t>(ByteView(head, 4, "batch length").unsigned_at(0, 4));
   if (size > kFrameLimit)
     throw WireError("batch length: " + std::to_string(size) + " bytes is over the limit");
   frame.resize(size);
@@ -50,23 +50,23 @@
   return true;
 }
 
-void Reply::pad() { body_.resize(count_ * kActionSize, '\0'); }
+void Reply::pad_record() { body_.resize(count_ * kActionSize, '\0'); }
 
-Reply& Reply::record(int code) {
-  pad();
+Reply& Reply::begin_record(int code) {
+  pad_record();
   ++count_;
-  return number(static_cast<std::uint64_t>(code), 2);
+  return put_unsigned(static_cast<std::uint64_t>(code), 2);
 }
 
-Reply& Reply::number(std::uint64_t value, int width) {
+Reply& Reply::put_unsigned(std::uint64_t value, int width) {
   append(body_, value, width);
   return *this;
 }
 
-Reply& Reply::f64(double value) { return number(std::bit_cast<std::uint64_t>(value), 8); }
+Reply& Reply::put_f64(double value) { return put_unsigned(std::bit_cast<std::uint64_t>(value), 8); }
 
 void Reply::write(std::ostream& out, std::uint32_t batch) {
-  pad();
+  pad_record();
   std::string head;
   append(head, body_.size() + 8, 4);
   append(head, count_, 4);
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -7,10 +7,10 @@
 
 namespace cressrill::simhost {
 
-using profile::decode_profile;
+using profile::decode_settings;
+using profile::DeploymentSettings;
 using profile::millis;
 using profile::nanos;
-using profile::Profile;
 
 namespace {
 
@@ -55,11 +55,11 @@
     case 100:
       return Outcome::generated;
     case 210:
-      return Outcome::read_done;
+      return Outcome::prefill_done;
     case 301:
       return Outcome::error;
     case 302:
-      return info == 1 ? Outcome::no_state : Outcome::full;
+      return info == 1 ? Outcome::kv_missing : Outcome::full;
     case 303:
       return Outcome::timed_out;
     case 304:
@@ -75,14 +75,14 @@
   }
 }
 
-Standing standing_of(std::uint64_t code) {
+WorkerStatus standing_of(std::uint64_t code) {
   switch (code) {
     case 0:
-      return Standing::gone;
+      return WorkerStatus::gone;
     case 1:
-      return Standing::ready;
+      return WorkerStatus::ready;
     case 2:
-      return Standing::draining;
+      return WorkerStatus::draining;
     default:
       throw WireError("list entry: state " + std::to_string(code) + " is not known");
   }
@@ -91,79 +91,83 @@
 }  // namespace
 
 // One instance: translates its events into calls and its decisions into records.
-class Router final : public Actions {
+class RouterInstance final : public Actions {
  public:
-  Router(int number, Reply& reply, const Profile& profile, std::uint64_t seed, Nanos now)
+  RouterInstance(int number, Reply& reply, const DeploymentSettings& profile, std::uint64_t seed, Nanos now)
       : number_(number),
         reply_(reply),
         profile_(profile),
-        policy_(make_policy(profile.deployment, seed, now, *this)) {}
+        policy_(make_policy(profile.settings, seed, now, *this)) {}
 
   int number() const { return number_; }
 
-  void list(Nanos now, bool complete, const Bytes& entries) {
+  void list(Nanos now, bool complete, const ByteView& entries) {
     policy_->list_begins(now, complete);
     for (std::size_t at = 0; at < entries.size(); at += kEntrySize) {
-      const Bytes entry = entries.part(at, kEntrySize, "list entry");
-      const auto kind = entry.number(17, 1);
-      if (kind >= profile_.deployment.kinds.size())
+      const ByteView entry = entries.slice(at, kEntrySize, "list entry");
+      const auto kind = entry.unsigned_at(17, 1);
+      if (kind >= profile_.settings.kinds.size())
         throw WireError("list entry: machine kind " + std::to_string(kind) + " is not in the settings");
-      policy_->worker_listed(workers_.index(static_cast<std::uint32_t>(entry.number(4, 4))),
-                             entry.number(4, 4), standing_of(entry.number(8, 1)), nanos(entry.f64(9)),
-                             static_cast<int>(kind), static_cast<int>(entry.number(18, 2)),
-                             static_cast<int>(entry.number(20, 2)));
+      policy_->worker_listed(
+          workers_.index(static_cast<std::uint32_t>(entry.unsigned_at(4, 4))), entry.unsigned_at(4, 4),
+          standing_of(entry.unsigned_at(8, 1)), nanos(entry.f64_at(9)), static_cast<int>(kind),
+          static_cast<int>(entry.unsigned_at(18, 2)), static_cast<int>(entry.unsigned_at(20, 2)));
     }
     policy_->list_ends();
   }
 
   void list_failed(Nanos now) { policy_->list_failed(now); }
 
-  void ask(Nanos now, const Bytes& event) {
-    const auto type = event.number(10, 2);
-    if (type >= profile_.deployment.types.size())
+  void ask(Nanos now, const ByteView& event) {
+    const auto type = event.unsigned_at(10, 2);
+    if (type >= profile_.settings.types.size())
       throw WireError("ask: class " + std::to_string(type) + " is not in the settings");
-    policy_->sequence_came(now, sequences_.index(event.number(2, 8)), static_cast<int>(type),
-                           static_cast<int>(event.number(12, 2)), event.number(14, 8), event.number(38, 8),
-                           event.f32(46), event.f32(50), event.f32(54), nanos(event.f64(22)));
+    policy_->request_arrived(now, sequences_.index(event.unsigned_at(2, 8)), static_cast<int>(type),
+                             static_cast<int>(event.unsigned_at(12, 2)), event.unsigned_at(14, 8),
+                             event.unsigned_at(38, 8), event.f32_at(46), event.f32_at(50), event.f32_at(54),
+                             nanos(event.f64_at(22)));
   }
 
-  void client_gone(Nanos now, const Bytes& event) {
-    const int seq = sequences_.find(event.number(2, 8));
+  void client_gone(Nanos now, const ByteView& event) {
+    const int seq = sequences_.find(event.unsigned_at(2, 8));
     if (seq >= 0) policy_->client_left(now, seq);
   }
 
-  void head_received(Nanos now, const Bytes& event) {
-    const int seq = sequences_.find(event.number(2, 8));
+  void head_received(Nanos now, const ByteView& event) {
+    const int seq = sequences_.find(event.unsigned_at(2, 8));
     if (seq >= 0)
-      policy_->stream_began(now, seq, static_cast<int>(event.number(14, 1)), nanos(event.f64(15)));
+      policy_->stream_started(now, seq, static_cast<int>(event.unsigned_at(14, 1)), nanos(event.f64_at(15)));
   }
 
-  void ended(Nanos now, const Bytes& event) {
-    const int seq = sequences_.find(event.number(2, 8));
-    const Outcome outcome = outcome_of(event.number(15, 2), event.number(26, 4));
+  void ended(Nanos now, const ByteView& event) {
+    const int seq = sequences_.find(event.unsigned_at(2, 8));
+    const Outcome outcome = outcome_of(event.unsigned_at(15, 2), event.unsigned_at(26, 4));
     if (seq >= 0)
-      policy_->attempt_ended(now, seq, static_cast<int>(event.number(10, 1)), outcome, nanos(event.f64(17)),
-                             event.number(25, 1) != 0, static_cast<double>(event.number(26, 4)),
-                             report(event, 30));
+      policy_->attempt_ended(now, seq, static_cast<int>(event.unsigned_at(10, 1)), outcome,
+                             nanos(event.f64_at(17)), event.unsigned_at(25, 1) != 0,
+                             static_cast<double>(event.unsigned_at(26, 4)), report(event, 30));
   }
 
-  void elapsed(Nanos now) { policy_->woke(now); }
+  void elapsed(Nanos now) { policy_->on_wakeup(now); }
 
   // The simulator's sends take effect at once: nothing can pass a time to begin by.
   void send(int seq, int worker, AttemptLimits limits) override {
-    record(16).number(sequences_.id(seq), 8).f64(millis(limits.timeout)).number(workers_.id(worker), 4);
+    record(16)
+        .put_unsigned(sequences_.id(seq), 8)
+        .put_f64(millis(limits.timeout))
+        .put_unsigned(workers_.id(worker), 4);
   }
-  void let_go(int seq) override { record(9).number(sequences_.id(seq), 8); }
+  void release(int seq) override { record(9).put_unsigned(sequences_.id(seq), 8); }
   void cancel(int seq, int attempt) override {
-    record(1).number(sequences_.id(seq), 8).number(static_cast<std::uint64_t>(attempt), 1);
+    record(1).put_unsigned(sequences_.id(seq), 8).put_unsigned(static_cast<std::uint64_t>(attempt), 1);
   }
   void reject(int seq, Nanos retry_after) override {
-    record(2).number(sequences_.id(seq), 8).f64(millis(retry_after));
+    record(2).put_unsigned(sequences_.id(seq), 8).put_f64(millis(retry_after));
   }
-  void abort(int seq) override { record(3).number(sequences_.id(seq), 8); }
-  void subscribe() override { record(10).number(1, 1); }
-  void wake(Nanos after) override { record(15).number(0, 4).f64(millis(after)); }
-  void forget_sequence(int seq) override { sequences_.forget(seq); }
+  void abort(int seq) override { record(3).put_unsigned(sequences_.id(seq), 8); }
+  void subscribe() override { record(10).put_unsigned(1, 1); }
+  void request_wakeup(Nanos after) override { record(15).put_unsigned(0, 4).put_f64(millis(after)); }
+  void forget_request(int seq) override { sequences_.forget(seq); }
   void forget_worker(int worker) override { workers_.forget(worker); }
 
   // The next record needs a context first: another instance may have spoken since.
@@ -171,18 +175,18 @@
 
  private:
   Reply& record(int code) {
-    if (!in_context_) reply_.record(4).number(static_cast<std::uint64_t>(number_), 2);
+    if (!in_context_) reply_.begin_record(4).put_unsigned(static_cast<std::uint64_t>(number_), 2);
     in_context_ = true;
-    return reply_.record(code);
+    return reply_.begin_record(code);
   }
 
-  Report report(const Bytes& event, std::size_t at) const {
-    const auto count = static_cast<int>(event.number(at, 1));
-    Report out;
-    out.heard = count > 0;
-    const auto column = [&](int i) { return event.f32(at + 1 + 4 * static_cast<std::size_t>(i)); };
-    if (profile_.sequences_column >= 0 && profile_.sequences_column < count)
-      out.sequences = column(profile_.sequences_column);
+  LoadReport report(const ByteView& event, std::size_t at) const {
+    const auto count = static_cast<int>(event.unsigned_at(at, 1));
+    LoadReport out;
+    out.received = count > 0;
+    const auto column = [&](int i) { return event.f32_at(at + 1 + 4 * static_cast<std::size_t>(i)); };
+    if (profile_.requests_column >= 0 && profile_.requests_column < count)
+      out.requests = column(profile_.requests_column);
     if (profile_.memory_column >= 0 && profile_.memory_column < count)
       out.memory_share = column(profile_.memory_column);
     return out;
@@ -190,30 +194,31 @@
 
   int number_;
   Reply& reply_;
-  Profile profile_;
+  DeploymentSettings profile_;
   IdMap<std::uint64_t> sequences_;
   IdMap<std::uint32_t> workers_;
   bool in_context_ = false;
   std::unique_ptr<Policy> policy_;
 };
 
-Host::Host() = default;
-Host::~Host() = default;
+BatchHandler::BatchHandler() = default;
+BatchHandler::~BatchHandler() = default;
 
-std::uint32_t Host::take(const std::vector<unsigned char>& frame, Reply& reply) {
-  const Bytes all(frame.data(), frame.size(), "batch");
-  const std::uint64_t count = all.number(0, 4);
-  const Nanos now = nanos(all.f64(4));
-  const auto batch = static_cast<std::uint32_t>(all.number(12, 4));
-  const Bytes records = all.part(kHeadSize, count * kEventSize, "records of the batch");
-  const Bytes tail = all.part(kHeadSize + records.size(), all.size() - kHeadSize - records.size(), "tail");
+std::uint32_t BatchHandler::handle(const std::vector<unsigned char>& frame, Reply& reply) {
+  const ByteView all(frame.data(), frame.size(), "batch");
+  const std::uint64_t count = all.unsigned_at(0, 4);
+  const Nanos now = nanos(all.f64_at(4));
+  const auto batch = static_cast<std::uint32_t>(all.unsigned_at(12, 4));
+  const ByteView records = all.slice(kHeadSize, count * kEventSize, "records of the batch");
+  const ByteView tail =
+      all.slice(kHeadSize + records.size(), all.size() - kHeadSize - records.size(), "tail");
   int at = -1;
   for (std::uint64_t i = 0; i < count; ++i) {
-    const Bytes event = records.part(i * kEventSize, kEventSize, "record " + std::to_string(i));
-    const auto code = event.number(0, 2);
+    const ByteView event = records.slice(i * kEventSize, kEventSize, "record " + std::to_string(i));
+    const auto code = event.unsigned_at(0, 2);
     const auto it = routers_.find(at);
-    Router* router = it == routers_.end() ? nullptr : it->second.get();
-    const auto instance = [&]() -> Router& {
+    RouterInstance* router = it == routers_.end() ? nullptr : it->second.get();
+    const auto instance = [&]() -> RouterInstance& {
       if (router == nullptr)
         throw WireError("record " + std::to_string(i) + ": event " + std::to_string(code) + " for instance " +
                         std::to_string(at) + ", which is not running");
@@ -221,32 +226,33 @@
     };
     switch (code) {
       case 11:
-        at = static_cast<int>(event.number(2, 2));
+        at = static_cast<int>(event.unsigned_at(2, 2));
         for (auto& [number, other] : routers_) other->heard_elsewhere();
         break;
       case 4: {
-        const Bytes list = tail.part(event.number(3, 4), event.number(7, 4) * kEntrySize, "manifest");
+        const ByteView list =
+            tail.slice(event.unsigned_at(3, 4), event.unsigned_at(7, 4) * kEntrySize, "manifest");
         const std::string_view text = list.text();
-        lists_[static_cast<int>(event.number(2, 1))].assign(text.begin(), text.end());
+        lists_[static_cast<int>(event.unsigned_at(2, 1))].assign(text.begin(), text.end());
         break;
       }
       case 6: {
         if (at < 0) throw WireError("record " + std::to_string(i) + ": power_on before any at");
-        const Bytes text = tail.part(event.number(10, 4), event.number(14, 4), "settings");
-        routers_[at] =
-            std::make_unique<Router>(at, reply, decode_profile(text.text()), event.number(2, 8), now);
+        const ByteView text = tail.slice(event.unsigned_at(10, 4), event.unsigned_at(14, 4), "settings");
+        routers_[at] = std::make_unique<RouterInstance>(at, reply, decode_settings(text.text()),
+                                                        event.unsigned_at(2, 8), now);
         break;
       }
       case 7: {
-        const auto scope = event.number(2, 1);
+        const auto scope = event.unsigned_at(2, 1);
         if (scope > 3) throw WireError("fleet: scope " + std::to_string(scope) + " is not known");
         if (scope == 3) {
           instance().list_failed(now);
           break;
         }
-        const auto list = lists_.find(static_cast<int>(event.number(11, 1)));
+        const auto list = lists_.find(static_cast<int>(event.unsigned_at(11, 1)));
         if (list == lists_.end()) throw WireError("fleet: its list has not been sent");
-        instance().list(now, scope != 0, Bytes(list->second.data(), list->second.size(), "manifest"));
+        instance().list(now, scope != 0, ByteView(list->second.data(), list->second.size(), "manifest"));
         break;
       }
       case 8:
--- a/simhost/host.h
+++ b/simhost/host.h
@@ -9,17 +9,17 @@
 
 namespace cressrill::simhost {
 
-class Router;
+class RouterInstance;
 
-class Host {
+class BatchHandler {
  public:
-  Host();
-  ~Host();
+  BatchHandler();
+  ~BatchHandler();
   // Takes one batch (without its length field) and leaves the answer in the reply; returns its number.
-  std::uint32_t take(const std::vector<unsigned char>& frame, Reply& reply);
+  std::uint32_t handle(const std::vector<unsigned char>& frame, Reply& reply);
 
  private:
-  std::map<int, std::unique_ptr<Router>> routers_;
+  std::map<int, std::unique_ptr<RouterInstance>> routers_;
   std::map<int, std::vector<unsigned char>> lists_;
 };
 
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -8,11 +8,11 @@
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
   try {
-    cressrill::simhost::Host host;
+    cressrill::simhost::BatchHandler host;
     cressrill::simhost::Reply reply;
     std::vector<unsigned char> frame;
     while (cressrill::simhost::read_frame(std::cin, frame)) {
-      const std::uint32_t batch = host.take(frame, reply);
+      const std::uint32_t batch = host.handle(frame, reply);
       reply.write(std::cout, batch);
     }
     return 0;
--- a/src/deployment.h
+++ b/src/deployment.h
@@ -10,9 +10,9 @@
 struct TrafficType {
   Effect effect{};
   Group group{};
-  Nanos window{};        // how long a tokened repeat is recognised
-  Nanos slo{};           // latency SLO for an empty prompt
-  Nanos slo_per_1000{};  // added to it for each thousand prompt tokens
+  Nanos window{};               // how long a tokened repeat is recognised
+  Nanos slo{};                  // latency SLO for an empty prompt
+  Nanos slo_per_1000_tokens{};  // added to it for each thousand prompt tokens
   double utility{};
 };
 
@@ -21,26 +21,26 @@
   double memory_tokens{};  // 0 where it is not told
 };
 
-struct Deployment {
+struct PolicySettings {
   std::vector<TrafficType> types;
   std::vector<double> tenant_rates;  // sequences a second within a tenant's share, all routers together
   std::vector<WorkerKind> kinds;
   int routers{};
   int zone{};
   Nanos tick{};
-  int attempts_cap{};
-  bool cancelling{};
-  bool second_copies{};
-  bool retry_after{};
+  int max_attempts{};
+  bool can_cancel{};
+  bool allow_parallel_attempts{};
+  bool send_retry_after{};
   Nanos max_retry_after{};
-  bool asks_for_list{};  // the list comes only to those that subscribe
-  Nanos must_ask_in{};
+  bool needs_subscription{};  // the list comes only to those that subscribe
+  Nanos subscription_lifetime{};
   double cross_zone_price{};
-  Nanos pin_limit{};
-  double cold_from{};
+  Nanos kv_hold_limit{};
+  double cold_start_capacity{};
   Nanos ramp_time{};
-  double fall_multiple{};
-  Nanos fall_span{};
+  double overload_factor{};
+  Nanos overload_window{};
 };
 
 }  // namespace cressrill
--- a/src/kv_hold.cpp
+++ b/src/kv_hold.cpp
@@ -32,16 +32,16 @@
 constexpr Nanos kInTransit = 200 * kMs;
 
 // What a worker has not done with an attempt that was lost so long ago, it will not do.
-constexpr Nanos kLostFor = kReleaseTriedFor;
+constexpr Nanos kLostFor = kReleaseGiveUpAfter;
 
 }  // namespace
 
-const char* word(HoldState state) {
+const char* to_string(HoldState state) {
   static constexpr const char* words[] = {"none", "maybe_held", "held", "releasing", "released", "taken"};
   return words[static_cast<int>(state)];
 }
 
-const char* word(HoldEvent event) {
+const char* to_string(HoldEvent event) {
   static constexpr const char* words[] = {
       "prefill_written", "prefill_refused",   "prefill_done",    "prefill_failed",  "prefill_answered",
       "prefill_lost",    "decode_written",    "decode_not_run",  "decode_answered", "decode_lost",
@@ -51,10 +51,10 @@
 }
 
 HoldState KvHold::state() const {
-  if (owed() && release_.asked) return HoldState::releasing;
-  if (owed() && evidence_.confirmed) return HoldState::held;
+  if (needs_release() && release_.asked) return HoldState::releasing;
+  if (needs_release() && evidence_.confirmed) return HoldState::held;
   if (taken_) return HoldState::taken;
-  if (owed()) return HoldState::maybe_held;
+  if (needs_release()) return HoldState::maybe_held;
   return release_.confirmed ? HoldState::released : HoldState::none;
 }
 
@@ -64,7 +64,7 @@
 
 // Events of attempts.
 
-bool KvHold::note_attempt(HoldEvent event, Nanos now, int attempt, HoldWorker worker, Nanos runs_for) {
+bool KvHold::record_attempt(HoldEvent event, Nanos now, int attempt, WorkerRef worker, Nanos runs_for) {
   const bool of_prefill = event <= HoldEvent::prefill_lost;
   if (event == HoldEvent::prefill_written || event == HoldEvent::decode_written) {
     if (of_prefill && taken_) return false;
@@ -171,10 +171,10 @@
 
 // Events of the request and of its release.
 
-bool KvHold::note(HoldEvent event, Nanos now) {
+bool KvHold::record(HoldEvent event, Nanos now) {
   switch (event) {
     case HoldEvent::release_wanted:
-      if (owed() && !over_) release_.wanted_at = now;
+      if (needs_release() && !over_) release_.wanted_at = now;
       return true;
     case HoldEvent::request_over:
       request_ended(now);
@@ -186,7 +186,7 @@
       request_ended(now);
       return true;
     case HoldEvent::release_asked:
-      if (!owed()) return false;
+      if (!needs_release()) return false;
       release_.asked = true;
       release_.at_once = false;
       return true;
@@ -205,7 +205,7 @@
   taken_ = false;
   // No prefill is taken as running for a request that needs none.
   evidence_.since = std::min(evidence_.since, now);
-  release_.at_once = owed();
+  release_.at_once = needs_release();
 }
 
 bool KvHold::release_confirmed(Nanos written) {
@@ -241,10 +241,10 @@
   for (Attempt& attempt : attempts_) {
     if (!attempt.prefill) continue;
     if (attempt.worker.identity != answer.identity) continue;
-    if (!attempt.lost || answer.call_written < attempt.lost_at + kInTransit) continue;
+    if (!attempt.lost || answer.call_written_at < attempt.lost_at + kInTransit) continue;
     // Bytes that a link has lost are sent again after as long as it was silent at the most: not before the attempt's write.
-    const Nanos silent = answer.answered - attempt.written;
-    attempt.over_from = std::min(attempt.over_from, answer.answered + silent);
+    const Nanos silent = answer.answered_at - attempt.written;
+    attempt.over_from = std::min(attempt.over_from, answer.answered_at + silent);
   }
 }
 
@@ -257,7 +257,7 @@
 // When a release is due.
 
 Nanos KvHold::release_due() const {
-  if (!owed()) return kNever;
+  if (!needs_release()) return kNever;
   if (release_.asked || release_.at_once) return kAtOnce;
   return std::min(last_moment(), wanted_moment());
 }
@@ -269,8 +269,8 @@
 }
 
 Nanos KvHold::wanted_moment() const {
-  if (!wanted()) return kNever;
-  return release_comes_first() ? release_.wanted_at : release_.wanted_at + further_attempt_wait(limit_);
+  if (!release_wanted()) return kNever;
+  return release_precedes_prefill() ? release_.wanted_at : release_.wanted_at + further_attempt_wait(limit_);
 }
 
 }  // namespace cressrill
--- a/src/kv_hold.h
+++ b/src/kv_hold.h
@@ -76,21 +76,21 @@
   release_given_up,   // none did for so long that whatever was held is lost with its worker
 };
 
-const char* word(HoldState state);
-const char* word(HoldEvent event);
+const char* to_string(HoldState state);
+const char* to_string(HoldEvent event);
 
 // A worker as the attempts of a request know it. Indices are used again once a worker is forgotten; identities are not.
-struct HoldWorker {
+struct WorkerRef {
   int index{-1};
   std::uint64_t identity{};
-  bool operator==(const HoldWorker&) const = default;
+  bool operator==(const WorkerRef&) const = default;
 };
 
 // That a worker answered a call, of whatever request.
 struct WorkerAnswer {
   std::uint64_t identity{};
-  Nanos call_written{};
-  Nanos answered{};
+  Nanos call_written_at{};
+  Nanos answered_at{};
 };
 
 class KvHold {
@@ -103,9 +103,9 @@
   // Takes an event of an attempt. runs_for: so long a prefill that is written is taken as running, by what is known of its
   // worker, as an early release would cost one that is merely slow. False where the event is not possible in this state, which
   // is left as it is then: a defect.
-  bool note_attempt(HoldEvent event, Nanos now, int attempt, HoldWorker worker = {}, Nanos runs_for = 0);
+  bool record_attempt(HoldEvent event, Nanos now, int attempt, WorkerRef worker = {}, Nanos runs_for = 0);
   // Takes an event of the request or of its release.
-  bool note(HoldEvent event, Nanos now);
+  bool record(HoldEvent event, Nanos now);
   // A worker has confirmed a release that was about to leave at that moment. Whether a further decode attempt would find nothing:
   // what one that is out waits for stays, and what came later as well.
   bool release_confirmed(Nanos written);
@@ -115,22 +115,24 @@
 
   HoldState state() const;
   // Whether something may be held that nobody else will take or release.
-  bool owed() const { return may_be_held(); }
+  bool needs_release() const { return may_be_held(); }
   // Whether the request needs nothing any more.
   bool request_over() const { return over_; }
   // From when on the limit counts, at the worst.
-  Nanos since() const { return evidence_.since; }
+  Nanos limit_started_at() const { return evidence_.since; }
   // When a release is to begin; kNever where none is.
   Nanos release_due() const;
   // Whether a release is to be tried before a further prefill is written: it would void that one's result as well.
-  bool release_comes_first() const { return release_.prefill_lost && !over_ && wanted() && owed(); }
+  bool release_precedes_prefill() const {
+    return release_.prefill_lost && !over_ && release_wanted() && needs_release();
+  }
   // Whether a release was wanted, and no attempt has been written since.
-  bool wanted() const { return release_.wanted_at != kNever; }
+  bool release_wanted() const { return release_.wanted_at != kNever; }
   // The last moment of the limit; kNever where nothing is owed.
-  Nanos limit_ends() const { return owed() ? evidence_.since + limit_ : kNever; }
+  Nanos limit_ends() const { return needs_release() ? evidence_.since + limit_ : kNever; }
   // Calls take(worker) with the worker of each lost attempt that is not known to be over.
   template <class Take>
-  void each_awaited_worker(Take take) const {
+  void for_each_unresolved_worker(Take take) const {
     for (const Attempt& attempt : attempts_)
       if (attempt.lost && attempt.over_from == kNever) take(attempt.worker);
   }
@@ -139,7 +141,7 @@
   static constexpr Nanos kNotHeard = -1;
   struct Attempt {
     int number{};
-    HoldWorker worker;
+    WorkerRef worker;
     bool prefill{};
     Nanos written{};
     bool lost{};              // not waited for any more
--- a/src/release_plan.cpp
+++ b/src/release_plan.cpp
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-const ReleaseCandidate& next_to_tell(const std::vector<ReleaseCandidate>& candidates) {
+const ReleaseCandidate& next_release_target(const std::vector<ReleaseCandidate>& candidates) {
   return *std::ranges::min_element(candidates, [](const ReleaseCandidate& a, const ReleaseCandidate& b) {
-    if (a.told != b.told) return a.told < b.told;
-    if (a.awaited != b.awaited) return a.awaited;
-    if (a.drains != b.drains) return b.drains;
-    if (a.connected != b.connected) return a.connected;
-    return a.heard > b.heard;
+    if (a.calls_made != b.calls_made) return a.calls_made < b.calls_made;
+    if (a.has_unresolved_attempt != b.has_unresolved_attempt) return a.has_unresolved_attempt;
+    if (a.draining != b.draining) return b.draining;
+    if (a.has_connection != b.has_connection) return a.has_connection;
+    return a.last_heard > b.last_heard;
   });
 }
 
-Nanos pause_before_next_call(Nanos limit, int calls) {
+Nanos delay_before_next_call(Nanos limit, int calls) {
   const Nanos step = std::max(limit / 40, 5 * kMs);
   const int doubled = calls < kCloseCalls ? 0 : std::min((calls - kCloseCalls) / kDoubled + 1, kMostDoubled);
   return step << doubled;
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t kMostClients = kDescriptors * 45 / 100 - 1;
 
 // Connects clients that say nothing, one after another, until the router holds as many connections as it may.
-std::vector<std::unique_ptr<RawClient>> fill(Site& site) {
+std::vector<std::unique_ptr<RawClient>> fill(PlatformFixture& site) {
   std::vector<std::unique_ptr<RawClient>> out;
   while (site.node->connections() < kMostClients && out.size() <= kMostClients) {
     out.push_back(std::make_unique<RawClient>(site.node->address()));
-    site.pass(1);
+    site.run_for(1);
   }
   REQUIRE(site.node->connections() == kMostClients);
   return out;
@@ -27,49 +27,49 @@
 // Eviction at the bound. Guards against a request that is dropped without an answer as its connection is closed.
 
 TEST_CASE("at the bound, a connection of which half a request has been read does not make way") {
-  Site s(1, 1, small_settings(), kDescriptors);
-  const std::string request = Site::call("a1");
+  PlatformFixture s(1, 1, test_settings(), kDescriptors);
+  const std::string request = PlatformFixture::request("a1");
   RawClient client(s.node->address());
   client.write(request.substr(0, 40));
-  s.pass(10);
+  s.run_for(10);
   const auto silent = fill(s);
   RawClient one_more(s.node->address());
-  s.pass(10);
+  s.run_for(10);
   CHECK(s.node->connections() == kMostClients);
   client.write(request.substr(40));
-  s.pass(400);
+  s.run_for(400);
   client.read();
-  CHECK(served_whole(client.text()));
+  CHECK(is_complete_stream(client.text()));
 }
 
 TEST_CASE("at the bound, a connection whose request has come and is unread does not make way") {
-  Site s(1, 1, small_settings(), kDescriptors);
+  PlatformFixture s(1, 1, test_settings(), kDescriptors);
   RawClient client(s.node->address());
-  s.pass(1);
+  s.run_for(1);
   const auto silent = fill(s);
-  RawClient one_more(s.node->address());  // the scheduler hears of this first,
-  client.write(Site::call("a1"));         // and of this in the same look at the sockets
-  s.pass(400);
+  RawClient one_more(s.node->address());         // the scheduler hears of this first,
+  client.write(PlatformFixture::request("a1"));  // and of this in the same look at the sockets
+  s.run_for(400);
   client.read();
-  CHECK(served_whole(client.text()));
+  CHECK(is_complete_stream(client.text()));
 }
 
 TEST_CASE("at the bound, where all carry a part of a request, the longest is told that there is no room") {
-  Site s(1, 1, small_settings(), kDescriptors);
+  PlatformFixture s(1, 1, test_settings(), kDescriptors);
   std::vector<std::unique_ptr<RawClient>> halves;
   for (std::size_t i = 0; i < kMostClients; ++i) {
     halves.push_back(std::make_unique<RawClient>(s.node->address()));
-    halves.back()->write(Site::call("h" + std::to_string(i)).substr(0, 200));
-    s.pass(1);
+    halves.back()->write(PlatformFixture::request("h" + std::to_string(i)).substr(0, 200));
+    s.run_for(1);
   }
   RawClient client(s.node->address());
-  client.write(Site::call("a1"));
-  s.pass(400);
+  client.write(PlatformFixture::request("a1"));
+  s.run_for(400);
   halves.front()->read();
   CHECK(halves.front()->text().starts_with("HTTP/1.1 503"));
   CHECK(halves.front()->ended());
   client.read();
-  CHECK(served_whole(client.text()));
+  CHECK(is_complete_stream(client.text()));
   halves.back()->read();
   CHECK(halves.back()->text().empty());
 }
@@ -77,21 +77,21 @@
 // Time-outs.
 
 TEST_CASE("a request that does not become whole in time is answered 408 and its connection ends in order") {
-  const std::string request = Site::call("a1");
+  const std::string request = PlatformFixture::request("a1");
   for (const std::size_t part : {std::size_t{30}, request.size() - 5}) {
     CAPTURE(part);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
     client.write(request.substr(0, part));
-    s.pass(2900);
+    s.run_for(2900);
     client.write(request.substr(part));  // crosses the end
-    s.pass(50);
+    s.run_for(50);
     client.read();
     CHECK(client.text().starts_with("HTTP/1.1 408"));
     CHECK(client.ended());
     CHECK(!client.reset());
-    CHECK(s.lines("POST") == 0);
-    s.pass(1500);
+    CHECK(s.count_requests("POST") == 0);
+    s.run_for(1500);
     CHECK(s.node->connections() == 0);
   }
 }
@@ -107,82 +107,82 @@
 }
 
 // The writer streams ten megabytes, more than all buffers between it and a client that reads nothing.
-void stream_much(Site& site) {
-  std::string text = Worker::stream_head();
-  for (int i = 0; i < kLargeEvents; ++i) text += Worker::framed(large_event());
-  site.worker("writer-0").acts = {{text + Worker::framed(Worker::ending()) + "0\r\n\r\n"}};
+void stream_much(PlatformFixture& site) {
+  std::string text = FakeWorker::stream_head();
+  for (int i = 0; i < kLargeEvents; ++i) text += FakeWorker::chunked(large_event());
+  site.worker("writer-0").script = {{text + FakeWorker::chunked(FakeWorker::stream_end()) + "0\r\n\r\n"}};
 }
 
 }  // namespace
 
 // Guards against a stream that is cut though its worker writes and its client reads, only slowly.
 TEST_CASE("a client that reads slowly gets its whole stream, however long that takes") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   stream_much(s);
   RawClient client(s.node->address(), 4096);
-  client.write(Site::call("a1"));
+  client.write(PlatformFixture::request("a1"));
   for (int second = 0; second < 20; ++second) {
-    s.pass(1000);
+    s.run_for(1000);
     client.read(64 * 1024);
     REQUIRE(!client.ended());
     REQUIRE(!client.reset());
   }
-  for (int i = 0; i < 5000 && !served_whole(client.text()); ++i) {
+  for (int i = 0; i < 5000 && !is_complete_stream(client.text()); ++i) {
     client.read();
-    s.pass(10);
+    s.run_for(10);
   }
-  CHECK(served_whole(client.text()));
+  CHECK(is_complete_stream(client.text()));
   CHECK(client.text().size() > kLargeEvents * large_event().size());
 }
 
 // Guards against a client that holds a worker's place, a connection and the end of the process for good.
 TEST_CASE("a client that takes nothing for 4.5 s is ended, and its worker is not blamed") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   stream_much(s);
   RawClient client(s.node->address(), 4096);
-  client.write(Site::call("a1"));
-  s.pass(3000);
-  CHECK(s.open_at("writer-0") == 1);
-  s.pass(3000);
-  CHECK(s.open_at("writer-0") == 0);
-  CHECK(s.node->host().live() == 0);
+  client.write(PlatformFixture::request("a1"));
+  s.run_for(3000);
+  CHECK(s.open_requests("writer-0") == 1);
+  s.run_for(3000);
+  CHECK(s.open_requests("writer-0") == 0);
+  CHECK(s.node->host().live_requests() == 0);
   CHECK(s.node->connections() == 0);
   CHECK(s.node->settled());
-  s.send("b", Site::call("b1"));
-  CHECK(s.answer("b").whole);
+  s.send("b", PlatformFixture::request("b1"));
+  CHECK(s.response("b").complete);
 }
 
 // Guards against an attempt that goes on for a client that has gone, as a write to it does not end.
 TEST_CASE("a client that ends its connection while a write to it waits has left at once") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   stream_much(s);
   RawClient client(s.node->address(), 4096);
-  client.write(Site::call("a1"));
-  s.pass(1000);
-  REQUIRE(s.open_at("writer-0") == 1);
-  client.end_sending();
-  s.pass(50);
-  CHECK(s.open_at("writer-0") == 0);
-  CHECK(s.node->host().live() == 0);
+  client.write(PlatformFixture::request("a1"));
+  s.run_for(1000);
+  REQUIRE(s.open_requests("writer-0") == 1);
+  client.shutdown_write();
+  s.run_for(50);
+  CHECK(s.open_requests("writer-0") == 0);
+  CHECK(s.node->host().live_requests() == 0);
 }
 
 TEST_CASE("a client that reads nothing does not hold back the events of another") {
-  Site s(1, 2);
+  PlatformFixture s(1, 2);
   stream_much(s);
-  s.worker("writer-1").acts = s.worker("writer-0").acts;
+  s.worker("writer-1").script = s.worker("writer-0").script;
   RawClient blocked(s.node->address(), 4096);
-  blocked.write(Site::call("a1"));
-  s.pass(1000);
-  for (auto& w : s.workers) w->acts.clear();
+  blocked.write(PlatformFixture::request("a1"));
+  s.run_for(1000);
+  for (auto& w : s.workers) w->script.clear();
   RawClient client(s.node->address());
-  client.write(Site::call("b1"));
+  client.write(PlatformFixture::request("b1"));
   std::size_t events = 0;
   // The stand-in writes an event each 20 ms; each is here before the next is written.
   for (int i = 0; i < 20 && events < 3; ++i) {
-    s.pass(20);
+    s.run_for(20);
     client.read();
     std::size_t now = 0;
-    for (int k = 0; k < 3; ++k) now += client.text().find(Worker::event(k)) != std::string::npos;
+    for (int k = 0; k < 3; ++k) now += client.text().find(FakeWorker::event(k)) != std::string::npos;
     CHECK(now <= events + 1);
     events = now;
   }
@@ -194,19 +194,19 @@
     "half a request on a connection that rested is answered within 3 s of its first byte, and not at once") {
   for (const std::int64_t rested : {100, 2300, 4700}) {
     CAPTURE(rested);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
-    client.write(Site::call("a1"));
-    s.pass(200);
+    client.write(PlatformFixture::request("a1"));
+    s.run_for(200);
     client.read();
-    REQUIRE(served_whole(client.text()));
-    client.forget_text();
-    s.pass(rested);
-    client.write(Site::call("a2").substr(0, 40));
-    s.pass(2000);
+    REQUIRE(is_complete_stream(client.text()));
+    client.clear_text();
+    s.run_for(rested);
+    client.write(PlatformFixture::request("a2").substr(0, 40));
+    s.run_for(2000);
     client.read();
     CHECK(client.text().empty());
-    s.pass(950);
+    s.run_for(950);
     client.read();
     CHECK(client.text().starts_with("HTTP/1.1 408"));
     CHECK(client.ended());
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -18,22 +18,22 @@
 // A text with the readable bytes after it that a reader's buffer has; good until the next call.
 std::string_view with_slack(std::string_view text) {
   static std::string kept;
-  kept.assign(text).append(http::kSlack, ' ');
+  kept.assign(text).append(http::kReadPaddingBytes, ' ');
   return std::string_view(kept).substr(0, text.size());
 }
 
-std::string shown(const std::variant<core::Facts, core::Refused>& read) {
-  if (const auto* r = std::get_if<core::Refused>(&read))
+std::string shown(const std::variant<core::ParsedRequest, core::RequestError>& read) {
+  if (const auto* r = std::get_if<core::RequestError>(&read))
     return fmt::format("{} {} [{}]: {}", r->status, r->code, r->param, r->message);
-  const auto& f = std::get<core::Facts>(read);
+  const auto& f = std::get<core::ParsedRequest>(read);
   std::string out = fmt::format("model {}, {} bytes, beginning {} bytes, {} messages", f.model,
-                                f.prompt_bytes, f.beginning_bytes, f.messages);
+                                f.prompt_bytes, f.prefix_bytes, f.message_count);
   if (f.prompt_tokens) out += fmt::format(", exactly {} tokens", *f.prompt_tokens);
-  if (f.max_out) out += fmt::format(", at most {}", *f.max_out);
-  if (f.session != 0) out += ", a session";
+  if (f.max_output_tokens) out += fmt::format(", at most {}", *f.max_output_tokens);
+  if (f.session_hash != 0) out += ", a session";
   if (f.stream) out += f.include_usage ? ", streamed with usage" : ", streamed";
   out += "\n    passed on: ";
-  for (const core::Span& part : f.passed_on) out += f.body.substr(part.at, part.size) + ",";
+  for (const core::TextRange& part : f.forwarded_members) out += f.body.substr(part.offset, part.size) + ",";
   return out;
 }
 
@@ -83,72 +83,73 @@
   };
   std::string trace;
   for (const auto& [api, body] : cases)
-    trace += fmt::format("{}\n  {}\n", body, shown(core::read_sequence(api, body, {})));
+    trace += fmt::format("{}\n  {}\n", body, shown(core::parse_request(api, body, {})));
   const std::string lists = std::string(100, '[') + std::string(100, ']');
   const std::string deep = R"({"model":"m","messages":[{"role":"user","content":"a"}],"x":)" + lists + "}";
   trace += "a hundred lists, one in the other, in a member\n  " +
-           shown(core::read_sequence(Api::chat, deep, {})) + "\n";
+           shown(core::parse_request(Api::chat, deep, {})) + "\n";
   std::erase(trace, '\xff');
   compare_trace("core_requests", trace);
 }
 
 TEST_CASE("what engines get of a request") {
-  const auto facts = std::get<core::Facts>(core::read_sequence(
+  const auto facts = std::get<core::ParsedRequest>(core::parse_request(
       Api::completion, R"({"model":"m","prompt":"a","max_tokens":9,"stream":false,"temperature":1})", {}));
   core::EngineBody body;
-  core::read_body(facts, body);
+  core::build_prefill_body(facts, body);
   CHECK(
       body.text() ==
       R"({"model":"m","prompt":"a","temperature":1,"max_tokens":1,"stream":false,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}})");
-  core::write_body(facts, R"({"x":1})", body);
+  core::build_decode_body(facts, R"({"x":1})", body);
   CHECK(
       body.text() ==
       R"({"model":"m","prompt":"a","temperature":1,"max_tokens":9,"stream":true,"stream_options":{"include_usage":true},"kv_transfer_params":{"x":1}})");
 }
 
 TEST_CASE("the session and the beginning are the same for the same texts, and differ by model") {
-  const auto read = [](const std::string& model, const std::string& system, core::Fields fields) {
+  const auto read = [](const std::string& model, const std::string& system, core::HeaderFields fields) {
     const std::string body = R"({"model":")" + model + R"(","messages":[{"role":"system","content":")" +
                              system + R"("},{"role":"user","content":"a"}]})";
-    return std::get<core::Facts>(core::read_sequence(Api::chat, body, fields));
+    return std::get<core::ParsedRequest>(core::parse_request(Api::chat, body, fields));
   };
   const HeaderFields session{{"x-session-id", "s"}};
-  CHECK(read("m", "x", {}).beginning == read("m", "x", {}).beginning);
-  CHECK(read("m", "x", {}).beginning != read("m", "y", {}).beginning);
-  CHECK(read("m", "x", {}).beginning != read("n", "x", {}).beginning);
-  CHECK(read("m", "x", session).session == read("m", "y", session).session);
-  CHECK(read("m", "x", session).session != read("n", "x", session).session);
-  CHECK(read("m", "x", {}).session == 0);
+  CHECK(read("m", "x", {}).prefix_hash == read("m", "x", {}).prefix_hash);
+  CHECK(read("m", "x", {}).prefix_hash != read("m", "y", {}).prefix_hash);
+  CHECK(read("m", "x", {}).prefix_hash != read("n", "x", {}).prefix_hash);
+  CHECK(read("m", "x", session).session_hash == read("m", "y", session).session_hash);
+  CHECK(read("m", "x", session).session_hash != read("n", "x", session).session_hash);
+  CHECK(read("m", "x", {}).session_hash == 0);
 }
 
 TEST_CASE("whose a request is, of which type, and how long it may take") {
-  core::Station s = small_station("127.0.0.1:1", R"(
+  core::RouterConfig s = test_config("127.0.0.1:1", R"(
 [[tenant]]
 name = "shop"
 keys = ["k1", "k2"]
 sequences_per_s = 5
 )");
-  const core::TokenEstimate estimate;
-  core::Facts f;
-  f.prompt_bytes = 4000, f.messages = 1, f.model = "tokened";
+  const core::TokenEstimator estimate;
+  core::ParsedRequest f;
+  f.prompt_bytes = 4000, f.message_count = 1, f.model = "tokened";
   const HeaderFields key{{"authorization", "Bearer k2"}};
-  const auto judged = std::get<core::Judged>(core::judge(s, estimate, f, "/v1/completions", key));
+  const auto judged =
+      std::get<core::ClassifiedRequest>(core::classify(s, estimate, f, "/v1/completions", key));
   CHECK(judged.type == 1);
   CHECK(judged.tenant == 0);
-  CHECK(judged.prompt == doctest::Approx(1004));
-  CHECK(judged.abandon_in == 6'000'000'000);
+  CHECK(judged.prompt_tokens == doctest::Approx(1004));
+  CHECK(judged.time_limit == 6'000'000'000);
   HeaderFields timed = key;
   timed.emplace_back("x-abandon-after-ms", "1500");
-  CHECK(std::get<core::Judged>(core::judge(s, estimate, f, "/v1/completions", timed)).abandon_in ==
-        1'500'000'000);
+  CHECK(std::get<core::ClassifiedRequest>(core::classify(s, estimate, f, "/v1/completions", timed))
+            .time_limit == 1'500'000'000);
   timed.back().second = "9999999";  // never longer than the type's
-  CHECK(std::get<core::Judged>(core::judge(s, estimate, f, "/v1/completions", timed)).abandon_in ==
-        6'000'000'000);
+  CHECK(std::get<core::ClassifiedRequest>(core::classify(s, estimate, f, "/v1/completions", timed))
+            .time_limit == 6'000'000'000);
   timed.back().second = "soon";
-  CHECK(std::get<core::Refused>(core::judge(s, estimate, f, "/v1/completions", timed)).status == 400);
-  CHECK(std::get<core::Refused>(core::judge(s, estimate, f, "/v1/completions", {})).status == 401);
+  CHECK(std::get<core::RequestError>(core::classify(s, estimate, f, "/v1/completions", timed)).status == 400);
+  CHECK(std::get<core::RequestError>(core::classify(s, estimate, f, "/v1/completions", {})).status == 401);
   f.model = "z";
-  CHECK(std::get<core::Refused>(core::judge(s, estimate, f, "/v1/completions", key)).status == 404);
+  CHECK(std::get<core::RequestError>(core::classify(s, estimate, f, "/v1/completions", key)).status == 404);
 }
 
 TEST_CASE("every fault of a router's file is told with its place") {
@@ -185,16 +186,16 @@
 name = "shop"
 keys = [3]
 )";
-  core::FileFaults faults;
-  CHECK(!core::read_station(path, faults));
+  core::ConfigErrors faults;
+  CHECK(!core::read_router_config(path, faults));
   std::string trace;
-  for (const auto& f : faults) trace += fmt::format("{}:{}: {}\n", f.line, f.column, f.what);
+  for (const auto& f : faults) trace += fmt::format("{}:{}: {}\n", f.line, f.column, f.message);
   faults.clear();
   std::ofstream(path) << "[router\n";
-  CHECK(!core::read_station(path, faults));
-  for (const auto& f : faults) trace += fmt::format("{}:{}: {}\n", f.line, f.column, f.what);
+  CHECK(!core::read_router_config(path, faults));
+  for (const auto& f : faults) trace += fmt::format("{}:{}: {}\n", f.line, f.column, f.message);
   faults.clear();
-  CHECK(!core::read_station("/tmp/cressrill-none.toml", faults));
+  CHECK(!core::read_router_config("/tmp/cressrill-none.toml", faults));
   CHECK(faults.size() == 1);
   std::remove(path.c_str());
   compare_trace("core_file_faults", trace);
@@ -202,19 +203,19 @@
 
 TEST_CASE(
     "a file is compared with the last list: kinds without workers, workers of unknown kinds and zones") {
-  const core::Station s = small_station("127.0.0.1:1");
+  const core::RouterConfig s = test_config("127.0.0.1:1");
   const core::WorkerList list{1,
                               true,
-                              {{"a", "127.0.0.1:1", Standing::ready, 0, "prefill", "east", "c"},
-                               {"b", "127.0.0.1:2", Standing::ready, 0, "mixed", "north", "c"}}};
+                              {{"a", "127.0.0.1:1", WorkerStatus::ready, 0, "prefill", "east", "c"},
+                               {"b", "127.0.0.1:2", WorkerStatus::ready, 0, "mixed", "north", "c"}}};
   std::string trace;
-  for (const auto& f : core::compare_with_list(s, list, "last-list"))
-    trace += fmt::format("{}:{}: {}\n", f.line, f.column, f.what);
+  for (const auto& f : core::check_worker_list(s, list, "last-list"))
+    trace += fmt::format("{}:{}: {}\n", f.line, f.column, f.message);
   compare_trace("core_list_faults", trace);
 }
 
 TEST_CASE("prompt tokens are learned from what engines count: the error on the stand-ins' texts") {
-  core::TokenEstimate estimate;
+  core::TokenEstimator estimate;
   std::uint64_t x = 9;
   const auto text = [&x](std::size_t words) {
     std::string out;
@@ -230,7 +231,7 @@
     for (int i = 0; i < 10; ++i) {
       const std::string t = text(50 + x % 900);
       const double counted = static_cast<double>(rig::tokenize(t).count);
-      off += std::abs(estimate.tokens("m", t.size(), 0) - counted) / counted / 10;
+      off += std::abs(estimate.estimate("m", t.size(), 0) - counted) / counted / 10;
       estimate.learn("m", t.size(), 0, counted);
     }
     if (round % 20 == 0) trace += fmt::format("after {:>3} prompts: off by {:.1f}%\n", round * 10, 100 * off);
@@ -241,12 +242,12 @@
 TEST_CASE("worker lists are read whole or refused") {
   const std::string good =
       R"({"complete":true,"version":4,"workers":[{"address":"127.0.0.1:1","cell":"c","kind":"k","name":"n","started_unix_ms":5,"state":"draining","zone":"z"}]})";
-  CHECK(core::worker_list_text(core::read_worker_list(good)) == good);
+  CHECK(core::serialize_worker_list(core::parse_worker_list(good)) == good);
   const char* bad[] = {
       "", "[]", R"({"version":1,"complete":true})",
       R"({"version":1,"complete":true,"workers":[{"name":"n"}]})",
       R"({"version":1,"complete":true,"workers":[{"name":"n","address":"a","state":"asleep","kind":"k","zone":"z","cell":"c"}]})"};
-  for (const char* text : bad) CHECK_THROWS_AS(core::read_worker_list(text), std::invalid_argument);
+  for (const char* text : bad) CHECK_THROWS_AS(core::parse_worker_list(text), std::invalid_argument);
 }
 
 TEST_CASE("what engines report and refuse") {
@@ -254,20 +255,21 @@
   head.fields = {{"endpoint-load-metrics",
                   "TEXT named_metrics.kv_cache_usage_perc=0.25, "
                   "named_metrics.num_requests_running=3,named_metrics.num_requests_waiting=2, odd, x=y"}};
-  CHECK(router::read_load(head).memory_share == 0.25);
-  CHECK(router::read_load(head).sequences == 5);
+  CHECK(router::parse_orca_load(head).memory_share == 0.25);
+  CHECK(router::parse_orca_load(head).requests == 5);
   head.fields = {{"endpoint-load-metrics", "JSON {}"}};
-  CHECK(!router::read_load(head).heard);
-  CHECK(router::read_refusal(503, "").outcome == Outcome::full);
-  CHECK(router::read_refusal(429, "").outcome == Outcome::full);
-  CHECK(router::read_refusal(409, R"({"error":{"code":"kv_state_not_found"}})").outcome == Outcome::no_state);
-  CHECK(router::read_refusal(409, R"({"error":{"code":"other"}})").outcome == Outcome::error);
-  CHECK(router::read_refusal(400, "").for_client);
-  CHECK(!router::read_refusal(500, "").for_client);
+  CHECK(!router::parse_orca_load(head).received);
+  CHECK(router::parse_error_response(503, "").outcome == Outcome::full);
+  CHECK(router::parse_error_response(429, "").outcome == Outcome::full);
+  CHECK(router::parse_error_response(409, R"({"error":{"code":"kv_state_not_found"}})").outcome ==
+        Outcome::kv_missing);
+  CHECK(router::parse_error_response(409, R"({"error":{"code":"other"}})").outcome == Outcome::error);
+  CHECK(router::parse_error_response(400, "").is_client_error);
+  CHECK(!router::parse_error_response(500, "").is_client_error);
 }
 
 TEST_CASE("a whole answer holds texts, calls and usage as its stream told them") {
-  router::Whole whole;
+  router::CompletionBuilder whole;
   const char* events[] = {
       R"({"id":"a","model":"m","created":7,"choices":[{"index":0,"delta":{"role":"assistant","content":"one "}}]})",
       R"({"choices":[{"index":0,"delta":{"content":"t\u0077o"},"finish_reason":null}],"usage":null})",
@@ -275,17 +277,17 @@
       R"({"choices":[{"index":0,"delta":{"tool_calls":[{"index":1,"function":{"arguments":"1}"}}]},"finish_reason":"stop"}]})",
       R"({"choices":[],"usage":{"prompt_tokens":30, "x":[1]}})",
   };
-  for (const char* e : events) CHECK(router::read_chunk(with_slack(e), &whole).readable);
+  for (const char* e : events) CHECK(router::parse_chunk(with_slack(e), &whole).readable);
   compare_trace("core_whole", whole.body(true) + "\n" + whole.body(false) + "\n");
 }
 
 TEST_CASE("what a read answered is taken whole or not at all") {
-  const auto read = [](const char* text) { return router::read_read_answer(with_slack(text)); };
+  const auto read = [](const char* text) { return router::parse_prefill_response(with_slack(text)); };
   const auto good = read(
       R"({"id":"x","usage":{"prompt_tokens":30,"prompt_tokens_details":{"cached_tokens":16}},"kv_transfer_params": {"a":[1,2]} })");
   REQUIRE(good);
-  CHECK(good->state == R"({"a":[1,2]})");
-  CHECK(good->kept == 16);
+  CHECK(good->kv_transfer_params == R"({"a":[1,2]})");
+  CHECK(good->cached_tokens == 16);
   CHECK(good->prompt_tokens == 30);
   for (const char* bad :
        {"", "[]", "{}", R"({"kv_transfer_params":null})", R"({"kv_transfer_params":{"a":tru}})",
@@ -310,10 +312,10 @@
   };
   std::string trace;
   for (const char* e : events) {
-    const router::StreamChunk c = router::read_chunk(with_slack(e));
+    const router::StreamChunk c = router::parse_chunk(with_slack(e));
     trace += fmt::format("{}\n  {}{}{}{}, {} kept of {}\n", e, c.readable ? "read" : "unreadable",
-                         c.content ? ", content" : "", c.usage_only ? ", usage only" : "",
-                         c.error ? ", an error" : "", c.kept, c.prompt_tokens);
+                         c.has_content ? ", content" : "", c.usage_only ? ", usage only" : "",
+                         c.error ? ", an error" : "", c.cached_tokens, c.prompt_tokens);
   }
   compare_trace("core_events", trace);
 }
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -34,7 +34,7 @@
   CHECK_MESSAGE(text == kept.str(), name << " now reads:\n" << text);
 }
 
-inline core::Station small_station(const std::string& roster, const std::string& more = "") {
+inline core::RouterConfig test_config(const std::string& roster, const std::string& more = "") {
   const std::string path = fmt::format("/tmp/cressrill-test-{}.toml", static_cast<const void*>(&roster));
   std::ofstream(path) << "[router]\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nroster = \"" << roster << R"("
 zone = "east"
@@ -81,49 +81,49 @@
 slo_ms = 1500
 abandon_ms = 6000
 )" << more;
-  core::FileFaults faults;
-  const auto station = core::read_station(path, faults);
+  core::ConfigErrors faults;
+  const auto station = core::read_router_config(path, faults);
   std::remove(path.c_str());
-  for (const auto& f : faults) FAIL_CHECK(f.text());
+  for (const auto& f : faults) FAIL_CHECK(f.to_string());
   return station.value();
 }
 
-class World {
+class EngineFixture {
  public:
-  explicit World(int readers = 2, int writers = 2, const router::MakePolicy& make = make_policy,
-                 const std::function<void(EngineMake&)>& change = {})
-      : record(loop),
-        roster(loop, kAnyPort, record),
-        station(small_station(roster.address().text())),
+  explicit EngineFixture(int readers = 2, int writers = 2, const router::PolicyFactory& make = make_policy,
+                         const std::function<void(EngineMake&)>& change = {})
+      : recorder(loop),
+        discovery(loop, kAnyPort, recorder),
+        config(test_config(discovery.address().to_string())),
         log("r", "off") {
     for (int i = 0; i < readers + writers; ++i) {
       EngineMake m;
       m.name = i < readers ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - readers);
       m.kind = i < readers ? "prefill" : "decode";
-      m.role = i < readers ? Role::reader : Role::writer;
+      m.role = i < readers ? Role::prefill : Role::decode;
       m.address = "127.0.0.1:0", m.zone = "east", m.cell = "e1";
       m.read_per_s = 10'000, m.step_ms = 20, m.memory_tokens = 100'000;
       if (change) change(m);
-      engines.push_back(std::make_unique<Engine>(loop, m, record));
+      engines.push_back(std::make_unique<Engine>(loop, m, recorder));
       Engine* e = engines.back().get();
-      roster.change(rig::listed(*e, Standing::ready));
+      discovery.change(rig::listed(*e, WorkerStatus::ready));
       e->on_change([this, e](bool up) {
-        core::ListedWorker w = rig::listed(*e, up ? Standing::ready : Standing::gone);
-        if (e->started() > 0) w.started = e->started() + loop.wall_offset();
-        roster.change(w);
+        core::ListedWorker w = rig::listed(*e, up ? WorkerStatus::ready : WorkerStatus::gone);
+        if (e->started() > 0) w.started_at = e->started() + loop.wall_clock_offset();
+        discovery.change(w);
       });
     }
-    settle();
-    router = std::make_unique<router::Instance>(loop, station, log, 7, make);
-    pass(50);
-    book.drain_grace = station.drain_grace, book.pin_limit = station.deployment.pin_limit;
-    for (std::size_t i = 0; i < station.types.size(); ++i) {
-      const TrafficType& t = station.deployment.types[i];
-      book.types[station.types[i].name] = {t.effect, t.group, t.window, t.utility, 0.2};
+    run_pending();
+    router = std::make_unique<router::Instance>(loop, config, log, 7, make);
+    run_for(50);
+    rule_book.drain_grace = config.drain_grace, rule_book.pin_limit = config.settings.kv_hold_limit;
+    for (std::size_t i = 0; i < config.type_rules.size(); ++i) {
+      const TrafficType& t = config.settings.types[i];
+      rule_book.types[config.type_rules[i].name] = {t.effect, t.group, t.window, t.utility, 0.2};
     }
-    began = loop.now();
+    started_at = loop.now();
   }
-  ~World() {
+  ~EngineFixture() {
     scope.cancel();
     router.reset();
     engines.clear();
@@ -134,19 +134,19 @@
       if (e->make().name == name) return *e;
     throw std::invalid_argument(name);
   }
-  void pass(std::int64_t ms) { testing::pass(loop, ms); }
-  void settle() { pass(1); }
+  void run_for(std::int64_t ms) { testing::run_for(loop, ms); }
+  void run_pending() { run_for(1); }
   // Runs until a line of that event was noted, count times in all.
-  void until_noted(const std::string& event, std::size_t count = 1) {
+  void run_until_recorded(const std::string& event, std::size_t count = 1) {
     const bool came = loop.run_until([&] {
       return static_cast<std::size_t>(std::ranges::count_if(
-                 record.lines(), [&](const auto& l) { return l.value("e", "") == event; })) >= count;
+                 recorder.lines(), [&](const auto& l) { return l.value("e", "") == event; })) >= count;
     });
     CHECK_MESSAGE(came, "never noted: " << event);
   }
 
-  rig::Question question(const std::string& name, int out = 4, const std::string& model = "m",
-                         bool stream = true, int words = 200) {
+  rig::Question request(const std::string& name, int out = 4, const std::string& model = "m",
+                        bool stream = true, int words = 200) {
     rig::Question q;
     q.sequence = name, q.id = name + ".0", q.router = "r", q.at = router->address(), q.stream = stream;
     q.type = model == "m" ? "plain" : model;
@@ -165,35 +165,35 @@
     return q;
   }
   // Asks and goes on; the answer stands in heard[sequence] once it came.
-  void ask(rig::Question q) {
-    scope.spawn([](World& w, rig::Question it) -> io::Task<> {
+  void send(rig::Question q) {
+    scope.spawn([](EngineFixture& w, rig::Question it) -> io::Task<> {
       const std::string name = it.sequence;
-      w.heard[name] = co_await rig::ask(w.loop, w.record, std::move(it));
+      w.responses[name] = co_await rig::ask(w.loop, w.recorder, std::move(it));
     }(*this, std::move(q)));
   }
-  const rig::Heard& answer(const std::string& sequence) {
-    const bool came = loop.run_until([&] { return heard.contains(sequence); });
+  const rig::Heard& response(const std::string& sequence) {
+    const bool came = loop.run_until([&] { return responses.contains(sequence); });
     CHECK_MESSAGE(came, "no answer to " << sequence);
-    return heard[sequence];
+    return responses[sequence];
   }
-  rig::Verdict verdict() const { return rig::judge(record.lines(), book); }
-  void kept() const {
+  rig::Verdict verdict() const { return rig::judge(recorder.lines(), rule_book); }
+  void check_rules_hold() const {
     const rig::Verdict v = verdict();
     CHECK_MESSAGE(v.kept(), v.text());
   }
-  int count(const std::string& event, const std::string& engine = "") const {
-    return static_cast<int>(std::ranges::count_if(record.lines(), [&](const auto& l) {
+  int count_events(const std::string& event, const std::string& engine = "") const {
+    return static_cast<int>(std::ranges::count_if(recorder.lines(), [&](const auto& l) {
       return l.value("e", "") == event && (engine.empty() || l.value("engine", "") == engine);
     }));
   }
   // What was noted since the start, a line each, with whole milliseconds.
   std::string trace() const {
     std::string out;
-    for (const auto& l : record.lines()) {
+    for (const auto& l : recorder.lines()) {
       const std::string e = l.value("e", "");
       const io::Nanos t = l.at("t").template get<io::Nanos>();
-      if (t < began || e == "told" || e == "up") continue;
-      out += fmt::format("{:>5} ms: ", (t - began) / io::kMs);
+      if (t < started_at || e == "told" || e == "up") continue;
+      out += fmt::format("{:>5} ms: ", (t - started_at) / io::kMs);
       if (l.contains("engine")) out += l.value("engine", "") + " ";
       out += e;
       for (const char* key : {"id", "stage", "state", "how", "kind", "status", "tokens", "kept"})
@@ -204,16 +204,16 @@
     return out;
   }
 
-  io::Loop loop{io::Loop::Time::handed};
-  rig::Recorder record;
-  rig::Roster roster;
-  core::Station station;
+  io::Loop loop{io::Loop::Clock::simulated};
+  rig::Recorder recorder;
+  rig::Roster discovery;
+  core::RouterConfig config;
   core::Log log;
   std::vector<std::unique_ptr<Engine>> engines;
   std::unique_ptr<router::Instance> router;
-  rig::RuleBook book;
-  std::map<std::string, rig::Heard> heard;
-  io::Nanos began{};
+  rig::RuleBook rule_book;
+  std::map<std::string, rig::Heard> responses;
+  io::Nanos started_at{};
   io::Scope scope{loop};
 };
 
--- a/tests/failure_test.cpp
+++ b/tests/failure_test.cpp
@@ -9,10 +9,10 @@
 
 namespace cressrill::testing {
 
-using io::Call;
+using io::SystemCall;
 
 namespace {
-std::string word(io::Failure failure) {
+std::string word(io::ErrorClass failure) {
   static constexpr const char* words[] = {"interrupted", "would block", "local lack", "aborted",
                                           "disconnected"};
   return words[static_cast<int>(failure)];
@@ -21,57 +21,57 @@
 
 TEST_CASE("each errno of each call says whether to try again, to wait, and whose fault it is") {
   struct Row {
-    Call call;
+    SystemCall call;
     int error;
     const char* means;
   };
-  const Row rows[] = {{Call::accept4, EAGAIN, "would block"},
-                      {Call::accept4, EINTR, "interrupted"},
-                      {Call::accept4, ECONNABORTED, "aborted"},
-                      {Call::accept4, EPROTO, "aborted"},
-                      {Call::accept4, ENETDOWN, "aborted"},
-                      {Call::accept4, EHOSTUNREACH, "aborted"},
-                      {Call::accept4, ENETUNREACH, "aborted"},
-                      {Call::accept4, EMFILE, "local lack"},
-                      {Call::accept4, ENFILE, "local lack"},
-                      {Call::accept4, ENOBUFS, "local lack"},
-                      {Call::accept4, ENOMEM, "local lack"},
-                      {Call::accept4, EPERM, "local lack"},
-                      {Call::connect, EINPROGRESS, "would block"},
-                      {Call::connect, EALREADY, "would block"},
-                      {Call::connect, EINTR, "would block"},
-                      {Call::connect, EAGAIN, "local lack"},
-                      {Call::connect, EADDRNOTAVAIL, "local lack"},
-                      {Call::connect, ENETUNREACH, "local lack"},
-                      {Call::connect, ENETDOWN, "local lack"},
-                      {Call::connect, EACCES, "local lack"},
-                      {Call::connect, ENOBUFS, "local lack"},
-                      {Call::connect, EMFILE, "local lack"},
-                      {Call::connect, ECONNREFUSED, "disconnected"},
-                      {Call::connect, EHOSTUNREACH, "disconnected"},
-                      {Call::connect, ETIMEDOUT, "disconnected"},
-                      {Call::connect, ECONNRESET, "disconnected"},
-                      {Call::recv, EAGAIN, "would block"},
-                      {Call::recv, EINTR, "interrupted"},
-                      {Call::recv, ENOMEM, "local lack"},
-                      {Call::recv, ECONNRESET, "disconnected"},
-                      {Call::recv, ETIMEDOUT, "disconnected"},
-                      {Call::recv, EHOSTUNREACH, "disconnected"},
-                      {Call::send, EAGAIN, "would block"},
-                      {Call::send, EINTR, "interrupted"},
-                      {Call::send, ENOBUFS, "local lack"},
-                      {Call::send, ENOMEM, "local lack"},
-                      {Call::send, EPIPE, "disconnected"},
-                      {Call::send, ECONNRESET, "disconnected"},
-                      {Call::send, EHOSTUNREACH, "disconnected"},
-                      {Call::epoll_ctl, ENOMEM, "local lack"},
-                      {Call::epoll_ctl, ENOSPC, "local lack"},
-                      {Call::socket, ENFILE, "local lack"},
-                      {Call::send, 9999, "disconnected"}};
+  const Row rows[] = {{SystemCall::accept4, EAGAIN, "would block"},
+                      {SystemCall::accept4, EINTR, "interrupted"},
+                      {SystemCall::accept4, ECONNABORTED, "aborted"},
+                      {SystemCall::accept4, EPROTO, "aborted"},
+                      {SystemCall::accept4, ENETDOWN, "aborted"},
+                      {SystemCall::accept4, EHOSTUNREACH, "aborted"},
+                      {SystemCall::accept4, ENETUNREACH, "aborted"},
+                      {SystemCall::accept4, EMFILE, "local lack"},
+                      {SystemCall::accept4, ENFILE, "local lack"},
+                      {SystemCall::accept4, ENOBUFS, "local lack"},
+                      {SystemCall::accept4, ENOMEM, "local lack"},
+                      {SystemCall::accept4, EPERM, "local lack"},
+                      {SystemCall::connect, EINPROGRESS, "would block"},
+                      {SystemCall::connect, EALREADY, "would block"},
+                      {SystemCall::connect, EINTR, "would block"},
+                      {SystemCall::connect, EAGAIN, "local lack"},
+                      {SystemCall::connect, EADDRNOTAVAIL, "local lack"},
+                      {SystemCall::connect, ENETUNREACH, "local lack"},
+                      {SystemCall::connect, ENETDOWN, "local lack"},
+                      {SystemCall::connect, EACCES, "local lack"},
+                      {SystemCall::connect, ENOBUFS, "local lack"},
+                      {SystemCall::connect, EMFILE, "local lack"},
+                      {SystemCall::connect, ECONNREFUSED, "disconnected"},
+                      {SystemCall::connect, EHOSTUNREACH, "disconnected"},
+                      {SystemCall::connect, ETIMEDOUT, "disconnected"},
+                      {SystemCall::connect, ECONNRESET, "disconnected"},
+                      {SystemCall::recv, EAGAIN, "would block"},
+                      {SystemCall::recv, EINTR, "interrupted"},
+                      {SystemCall::recv, ENOMEM, "local lack"},
+                      {SystemCall::recv, ECONNRESET, "disconnected"},
+                      {SystemCall::recv, ETIMEDOUT, "disconnected"},
+                      {SystemCall::recv, EHOSTUNREACH, "disconnected"},
+                      {SystemCall::send, EAGAIN, "would block"},
+                      {SystemCall::send, EINTR, "interrupted"},
+                      {SystemCall::send, ENOBUFS, "local lack"},
+                      {SystemCall::send, ENOMEM, "local lack"},
+                      {SystemCall::send, EPIPE, "disconnected"},
+                      {SystemCall::send, ECONNRESET, "disconnected"},
+                      {SystemCall::send, EHOSTUNREACH, "disconnected"},
+                      {SystemCall::epoll_ctl, ENOMEM, "local lack"},
+                      {SystemCall::epoll_ctl, ENOSPC, "local lack"},
+                      {SystemCall::socket, ENFILE, "local lack"},
+                      {SystemCall::send, 9999, "disconnected"}};
   for (const Row& row : rows) {
-    CAPTURE(io::kCallNames[static_cast<std::size_t>(row.call)]);
+    CAPTURE(io::kSystemCallNames[static_cast<std::size_t>(row.call)]);
     CAPTURE(std::string(std::strerror(row.error)));
-    CHECK(word(io::classify(row.call, row.error)) == row.means);
+    CHECK(word(io::classify_error(row.call, row.error)) == row.means);
   }
 }
 
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -51,41 +51,41 @@
 TEST_CASE("accept fails for want of memory or descriptors, and the loop goes on and serves after it") {
   for (const int error : {ENOBUFS, ENOMEM, EMFILE, ENFILE, ECONNABORTED, EPROTO}) {
     CAPTURE(error);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
-    client.write(Site::call("a1"));
+    client.write(PlatformFixture::request("a1"));
     {
       Fault fault(FaultyCall::accept, error, 10'000);
-      s.pass(200);
+      s.run_for(200);
       CHECK(fault.injected() > 0);
       CHECK(fault.injected() < 200);
     }
-    s.pass(500);
+    s.run_for(500);
     client.read();
-    CHECK(served_whole(client.text()));
+    CHECK(is_complete_stream(client.text()));
   }
 }
 
 TEST_CASE("a connection that cannot be registered with epoll ends no other, and nothing is lost or leaked") {
   for (const int error : {ENOMEM, ENOSPC}) {
     CAPTURE(error);
-    Site s(2, 2);
+    PlatformFixture s(2, 2);
     std::vector<std::unique_ptr<RawClient>> clients;
     for (int i = 0; i < 6; ++i) {
       clients.push_back(std::make_unique<RawClient>(s.node->address()));
-      clients.back()->write(Site::call("a" + std::to_string(i)));
+      clients.back()->write(PlatformFixture::request("a" + std::to_string(i)));
     }
     {
       Fault fault(FaultyCall::epoll_add, error, 8);
-      s.pass(300);
+      s.run_for(300);
       CHECK(fault.injected() > 0);
     }
-    s.pass(1000);
+    s.run_for(1000);
     for (auto& client : clients) {
       client->read();
-      CHECK(served_whole(client->text()));
+      CHECK(is_complete_stream(client->text()));
     }
-    CHECK(s.node->host().live() == 0);
+    CHECK(s.node->host().live_requests() == 0);
   }
 }
 
@@ -101,18 +101,18 @@
   for (const auto& [call, error] : faults) {
     CAPTURE(std::string(word(call)));
     CAPTURE(error);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
-    client.write(Site::call("a1"));
+    client.write(PlatformFixture::request("a1"));
     {
       Fault fault(call, error, 5);
-      s.pass(30);
+      s.run_for(30);
       CHECK(fault.injected() > 0);
     }
-    s.pass(600);
+    s.run_for(600);
     client.read();
-    CHECK(served_whole(client.text()));
-    CHECK(s.lines("POST") == 2);
+    CHECK(is_complete_stream(client.text()));
+    CHECK(s.count_requests("POST") == 2);
   }
 }
 
@@ -121,18 +121,18 @@
   constexpr int kLimitMs = 500;
   for (const int error : {EMFILE, ENFILE, ENOBUFS}) {
     CAPTURE(error);
-    Site s(1, 1, with_limit(kLimitMs));
-    s.worker("reader-0").acts = {{"", Act::Then::reset, 10 * kMs, false, true}};
-    s.send("a", Site::call("a1"));
-    REQUIRE(s.until([&] { return !s.states.empty(); }));
+    PlatformFixture s(1, 1, settings_with_hold_limit(kLimitMs));
+    s.worker("reader-0").script = {{"", ScriptedResponse::Finish::reset, 10 * kMs, false, true}};
+    s.send("a", PlatformFixture::request("a1"));
+    REQUIRE(s.run_until([&] { return !s.kv_entries.empty(); }));
     {
       Fault fault(FaultyCall::socket, error);
-      s.pass(2000);
+      s.run_for(2000);
       CHECK(fault.injected() > 0);
-      CHECK(!s.states.empty());
+      CHECK(!s.kv_entries.empty());
     }
-    s.pass(kHeldSlack / kMs);
-    CHECK(s.states.empty());
+    s.run_for(kHoldLimitSlack / kMs);
+    CHECK(s.kv_entries.empty());
   }
 }
 
@@ -141,17 +141,17 @@
     for (const std::uint32_t most : {1u, 7u, 100u}) {
       CAPTURE(std::string(word(call)));
       CAPTURE(most);
-      Site s(1, 1);
+      PlatformFixture s(1, 1);
       RawClient client(s.node->address());
-      client.write(Site::call("a1"));
+      client.write(PlatformFixture::request("a1"));
       {
         ShortTransfers few(call, most);
-        s.pass(1000);
+        s.run_for(1000);
         CHECK(few.injected() > 0);
       }
-      s.pass(100);
+      s.run_for(100);
       client.read();
-      CHECK(served_whole(client.text()));
+      CHECK(is_complete_stream(client.text()));
     }
 }
 
@@ -163,52 +163,52 @@
   for (const auto& [call, error] : faults) {
     CAPTURE(std::string(word(call)));
     CAPTURE(error);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
-    client.write(Site::call("a1"));
+    client.write(PlatformFixture::request("a1"));
     {
       Fault fault(call, error, 40, 2);
-      s.pass(1000);
+      s.run_for(1000);
       CHECK(fault.injected() > 0);
     }
-    s.pass(100);
+    s.run_for(100);
     client.read();
-    CHECK(served_whole(client.text()));
-    CHECK(s.lines("POST") == 2);
+    CHECK(is_complete_stream(client.text()));
+    CHECK(s.count_requests("POST") == 2);
   }
 }
 
 // The kernel tells of a client's end once; a look at the socket that is interrupted just then must not lose it.
 TEST_CASE("a client that leaves while looks at its connection are interrupted has left") {
-  Site s(1, 1);
-  s.worker("reader-0").silent = true;
+  PlatformFixture s(1, 1);
+  s.worker("reader-0").unresponsive = true;
   RawClient client(s.node->address());
-  client.write(Site::call("a1"));
-  s.pass(50);
-  REQUIRE(s.node->host().live() == 1);
+  client.write(PlatformFixture::request("a1"));
+  s.run_for(50);
+  REQUIRE(s.node->host().live_requests() == 1);
   client.close();
   {
     Fault fault(FaultyCall::receive, EINTR, 1);
-    s.pass(50);
+    s.run_for(50);
     CHECK(fault.injected() > 0);
   }
-  CHECK(s.node->host().live() == 0);
+  CHECK(s.node->host().live_requests() == 0);
 }
 
 TEST_CASE(
     "connections that wait in the listener's queue as it closes are taken although accept is interrupted") {
   for (const int error : {EINTR, ECONNABORTED, ENOBUFS}) {
     CAPTURE(error);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
-    client.write(Site::call("a1"));
+    client.write(PlatformFixture::request("a1"));
     {
       Fault fault(FaultyCall::accept, error, 3);
       s.node->close();
-      s.pass(50);
+      s.run_for(50);
       CHECK(fault.injected() > 0);
     }
-    s.pass(100);
+    s.run_for(100);
     client.read();
     CHECK(client.text().starts_with("HTTP/1.1 503"));
     CHECK(!client.reset());
@@ -217,17 +217,17 @@
 
 // An exception ends the request that it comes from: its client gets an answer, and others are served.
 TEST_CASE("a handler that throws ends its own request alone, and the failure is told") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   std::vector<std::string> failures;
-  loop.observe_faults({}, [&](const char* what) { failures.emplace_back(what); });
-  http::Server server(loop, kAnyPort, [](http::Request& request, http::Answer& answer) -> io::Task<> {
+  loop.observe_failures({}, [&](const char* what) { failures.emplace_back(what); });
+  http::Server server(loop, kAnyPort, [](http::Request& request, http::ResponseWriter& answer) -> io::Task<> {
     if (request.head.target == "/throws") throw std::runtime_error("no reason");
-    co_await answer.whole(200, "", "fine");
+    co_await answer.respond(200, "", "fine");
   });
   RawClient thrower(server.address()), other(server.address());
   thrower.write("GET /throws HTTP/1.1\r\nHost: h\r\n\r\n");
   other.write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-  pass(loop, 100);
+  run_for(loop, 100);
   thrower.read(), other.read();
   CHECK(thrower.text().starts_with("HTTP/1.1 500"));
   CHECK(thrower.ended());
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -16,18 +16,18 @@
 class StartsTold final : public Policy {
  public:
   void list_begins(Nanos, bool) override {}
-  void worker_listed(int worker, std::uint64_t, Standing, Nanos started, int, int, int) override {
+  void worker_listed(int worker, std::uint64_t, WorkerStatus, Nanos started, int, int, int) override {
     starts.resize(std::max(starts.size(), static_cast<std::size_t>(worker) + 1));
     starts[static_cast<std::size_t>(worker)] = started;
   }
   void list_ends() override {}
   void list_failed(Nanos) override {}
-  void sequence_came(Nanos, int, int, int, std::uint64_t, std::uint64_t, double, double, double,
-                     Nanos) override {}
+  void request_arrived(Nanos, int, int, int, std::uint64_t, std::uint64_t, double, double, double,
+                       Nanos) override {}
   void client_left(Nanos, int) override {}
-  void stream_began(Nanos, int, int, Nanos) override {}
-  void attempt_ended(Nanos, int, int, Outcome, Nanos, bool, double, const Report&) override {}
-  void woke(Nanos) override {}
+  void stream_started(Nanos, int, int, Nanos) override {}
+  void attempt_ended(Nanos, int, int, Outcome, Nanos, bool, double, const LoadReport&) override {}
+  void on_wakeup(Nanos) override {}
   std::vector<Nanos> starts;
 };
 
@@ -35,22 +35,22 @@
   Told() {
     station.kind_names = {"decode"};
     station.zones = {"east"};
-    station.deployment.kinds = {{Role::writer, 0}};
+    station.settings.kinds = {{Role::decode, 0}};
     fleet = std::make_unique<router::Fleet>(loop, station, log);
   }
   // The wall clock, as it stands without a step.
-  io::Nanos wall() const { return loop.wall_offset() + loop.now(); }
+  io::Nanos wall() const { return loop.wall_clock_offset() + loop.now(); }
   void list(io::Nanos started, bool complete = false) {
     core::WorkerList told{++version, complete, {}};
     told.source = 1;
-    told.workers.push_back({"w", "127.0.0.1:1", Standing::ready, started, "decode", "east", "3"});
-    fleet->take(told, policy);
+    told.workers.push_back({"w", "127.0.0.1:1", WorkerStatus::ready, started, "decode", "east", "3"});
+    fleet->apply_list(told, policy);
   }
-  void pass(io::Nanos span) { loop.jump(loop.now() + span); }
+  void pass(io::Nanos span) { loop.advance_to(loop.now() + span); }
   Nanos start() const { return policy.starts[0]; }
 
-  io::Loop loop{io::Loop::Time::handed};
-  core::Station station;
+  io::Loop loop{io::Loop::Clock::simulated};
+  core::RouterConfig station;
   core::Log log{"n0", "off"};
   std::unique_ptr<router::Fleet> fleet;
   StartsTold policy;
@@ -93,7 +93,7 @@
   t.list(0, true);
   for (int i = 0; i < 720; ++i) {
     t.pass(10 * kSecond);
-    t.fleet->confirm();
+    t.fleet->confirm_current();
   }
   t.list(t.wall() - 100 * kMs - kHour);
   CHECK(t.start() == t.loop.now());
@@ -106,9 +106,9 @@
   t.list(t.wall() - 1 * kSecond);
   const Nanos start = t.start();
   core::WorkerList old{
-      1, true, {{"w", "127.0.0.1:1", Standing::ready, t.wall() - 22 * kSecond, "decode", "east", "3"}}};
+      1, true, {{"w", "127.0.0.1:1", WorkerStatus::ready, t.wall() - 22 * kSecond, "decode", "east", "3"}}};
   old.source = 2;
-  t.fleet->take(old, t.policy);
+  t.fleet->apply_list(old, t.policy);
   CHECK(t.start() == start);
 }
 
--- a/tests/held_order_test.cpp
+++ b/tests/held_order_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-using Then = Act::Then;
+using Then = ScriptedResponse::Finish;
 
 constexpr const char* kKnownRed = "held too long, known red";
 
@@ -55,7 +55,7 @@
   int prefills{};
   int decodes{};
   json settings() const {
-    json out = with_limit(limit_ms, parallel, cancelling);
+    json out = settings_with_hold_limit(limit_ms, parallel, cancelling);
     out["caps"]["attemptsCap"] = attempts_cap;
     json& service = out["services"][0];
     service["effect"] = effect;
@@ -82,8 +82,8 @@
 // What the decisions expect of prefills, as they order them.
 class Expectations final : public Actions {
  public:
-  router::MakePolicy maker() {
-    return [this](const Deployment& deployment, std::uint64_t seed, Nanos now, Actions& out) {
+  router::PolicyFactory maker() {
+    return [this](const PolicySettings& deployment, std::uint64_t seed, Nanos now, Actions& out) {
       out_ = &out;
       return make_policy(deployment, seed, now, *this);
     };
@@ -91,16 +91,16 @@
   Nanos longest() const { return longest_; }
 
   void send(int seq, int worker, AttemptLimits limits) override {
-    longest_ = std::max(longest_, limits.runs_for);
+    longest_ = std::max(longest_, limits.assumed_run_time);
     out_->send(seq, worker, limits);
   }
-  void let_go(int seq) override { out_->let_go(seq); }
+  void release(int seq) override { out_->release(seq); }
   void cancel(int seq, int attempt) override { out_->cancel(seq, attempt); }
   void reject(int seq, Nanos retry_after) override { out_->reject(seq, retry_after); }
   void abort(int seq) override { out_->abort(seq); }
   void subscribe() override { out_->subscribe(); }
-  void wake(Nanos after) override { out_->wake(after); }
-  void forget_sequence(int seq) override { out_->forget_sequence(seq); }
+  void request_wakeup(Nanos after) override { out_->request_wakeup(after); }
+  void forget_request(int seq) override { out_->forget_request(seq); }
   void forget_worker(int worker) override { out_->forget_worker(worker); }
 
  private:
@@ -116,21 +116,23 @@
 // KV cache that is held, by request, with how long no attempt of it was out at a running worker.
 class UnattendedWatch {
  public:
-  UnattendedWatch(Site& site, io::Nanos limit, std::function<void(const std::string&, io::Nanos)> ended)
+  UnattendedWatch(PlatformFixture& site, io::Nanos limit,
+                  std::function<void(const std::string&, io::Nanos)> ended)
       : site_(site), limit_(limit), ended_(std::move(ended)), scope_(site.loop) {
     scope_.spawn(watch());
   }
   void look() {
     for (auto it = held_.begin(); it != held_.end();) {
       const auto& [id, span] = *it;
-      const bool goes_on = site_.states.contains(id);
+      const bool goes_on = site_.kv_entries.contains(id);
       if (!goes_on) tell_if_broken(id, span);
       it = goes_on ? std::next(it) : held_.erase(it);
     }
-    for (const auto& [id, worker] : site_.states) {
+    for (const auto& [id, worker] : site_.kv_entries) {
       Span& span = held_.try_emplace(id, Span{site_.loop.now(), 0}).first->second;
-      const States::Attempts& attempts = site_.states.attempts[id];
-      const io::Nanos from = std::max(span.since, attempts.out > 0 ? site_.loop.now() : attempts.last);
+      const KvEntries::AttemptStatus& attempts = site_.kv_entries.attempts[id];
+      const io::Nanos from =
+          std::max(span.since, attempts.active > 0 ? site_.loop.now() : attempts.last_active);
       span.longest = std::max(span.longest, site_.loop.now() - from);
     }
   }
@@ -145,7 +147,7 @@
     io::Nanos longest{};
   };
   void tell_if_broken(const std::string& id, const Span& span) {
-    if (span.longest > limit_ + kHeldSlack) ended_(id, span.longest);
+    if (span.longest > limit_ + kHoldLimitSlack) ended_(id, span.longest);
   }
   io::Task<> watch() {
     for (;;) {
@@ -153,7 +155,7 @@
       co_await site_.loop.sleep_for(kStep);
     }
   }
-  Site& site_;
+  PlatformFixture& site_;
   const io::Nanos limit_;
   const std::function<void(const std::string&, io::Nanos)> ended_;
   std::map<std::string, Span> held_;
@@ -183,11 +185,11 @@
         watch_(site_, drawn_.limit_ms * kMs,
                [this](const std::string& id, io::Nanos span) { held_too_long(id, span); }),
         scope_(site_.loop) {
-    site_.states.on_event = [this](const std::string& line) { note(line); };
+    site_.kv_entries.on_event = [this](const std::string& line) { note(line); };
     for (auto& worker : site_.workers) prepare(*worker);
   }
 
-  ~Order() { site_.states.on_event = {}; }
+  ~Order() { site_.kv_entries.on_event = {}; }
 
   void play() {
     if (random_.one_in(2)) serve_some();
@@ -197,7 +199,7 @@
     terminates_ = random_.one_in(4);
     for (int i = 0; i < events; ++i) {
       const io::Nanos after = gap();
-      if (after > 0) site_.pass(after / kMs);
+      if (after > 0) site_.run_for(after / kMs);
       happen();
     }
     if (terminates_) return terminate();
@@ -247,126 +249,133 @@
 
   // Workers.
 
-  void prepare(Worker& worker) {
-    worker.whole_links = true;
-    worker.answers = [this, &worker] { answer_crosses(worker, Client::Leaves::before_answer); };
-    worker.has_answered = [this, &worker] { answer_crosses(worker, Client::Leaves::after_answer); };
+  void prepare(FakeWorker& worker) {
+    worker.silent_both_ways = true;
+    worker.before_response = [this, &worker] { answer_crosses(worker, Client::Leaves::before_answer); };
+    worker.after_response = [this, &worker] { answer_crosses(worker, Client::Leaves::after_answer); };
   }
   // The router learns of its workers, at times that prefills take long there.
   void serve_some() {
     const io::Nanos span = random_.one_in(3) ? random_.below(drawn_.limit_ms) / 5 * kStep : 0;
     for (auto& worker : site_.workers)
-      if (worker->reads && span > 0) worker->acts = std::deque<Act>(4, {"", Then::keep, span, true});
+      if (worker->is_prefill && span > 0)
+        worker->script = std::deque<ScriptedResponse>(4, {"", Then::keep_alive, span, true});
     for (int i = 0; i < 4; ++i) {
       begin_client({.id = fmt::format("w{}", i)}, 4800);
-      site_.pass(20);
+      site_.run_for(20);
     }
-    site_.pass(1500);
-    for (auto& worker : site_.workers) worker->acts.clear();
+    site_.run_for(1500);
+    for (auto& worker : site_.workers) worker->script.clear();
   }
   io::Nanos act_time() { return random_.one_in(4) ? random_.steps(drawn_.limit_ms / 3) : random_.steps(10); }
-  Act prefill_act() {
-    static const std::string done = http::response_text(202, "", "{\"cached_tokens\":128}", true);
+  ScriptedResponse prefill_act() {
+    static const std::string done = http::format_response(202, "", "{\"cached_tokens\":128}", true);
     const io::Nanos after = act_time();
     const bool leaves = random_.one_in(2);
-    Act act{.text = "", .then = Then::keep, .after = after, .usual = false, .leaves = leaves};
+    ScriptedResponse act{.response = "",
+                         .finish = Then::keep_alive,
+                         .delay = after,
+                         .use_default = false,
+                         .leaves_kv = leaves};
     switch (random_.below(14)) {
       case 0:
-        act.text = http::response_text(500, "", "", true);
+        act.response = http::format_response(500, "", "", true);
         return act;
       case 1:
-        act.text = http::response_text(503, "X-Rejected: 1\r\n", "", true), act.leaves = false;
+        act.response = http::format_response(503, "X-Rejected: 1\r\n", "", true), act.leaves_kv = false;
         return act;
       case 2:
-        act.then = Then::close;
+        act.finish = Then::close;
         return act;
       case 3:
-        act.then = Then::reset;
+        act.finish = Then::reset;
         return act;
       case 4:
-        act.text = done.substr(0, done.size() / 2), act.then = Then::hold, act.leaves = true;
+        act.response = done.substr(0, done.size() / 2), act.finish = Then::hang, act.leaves_kv = true;
         return act;
       case 5:
-        act.then = Then::hold, act.leaves = true;
+        act.finish = Then::hang, act.leaves_kv = true;
         return act;
       case 6:
-        act.text = "HTTP/7 what\r\n\r\n", act.then = Then::close;
+        act.response = "HTTP/7 what\r\n\r\n", act.finish = Then::close;
         return act;
       case 7:
-        act.usual = true, act.after = random_.steps(300);
+        act.use_default = true, act.delay = random_.steps(300);
         return act;
       case 8:
-        act.then = Then::hold, act.leaves = false, act.leaves_at_end = leaves;
+        act.finish = Then::hang, act.leaves_kv = false, act.leaves_kv_on_disconnect = leaves;
         return act;
       case 9:
-        act.leaves = true, act.later = done, act.behind = act_time();
+        act.leaves_kv = true, act.late_response = done, act.late_delay = act_time();
         return act;
       default:
-        act.usual = true, act.leaves = false, act.after = random_.one_in(2) ? 0 : after;
-        act.leaves_at_end = leaves;
+        act.use_default = true, act.leaves_kv = false, act.delay = random_.one_in(2) ? 0 : after;
+        act.leaves_kv_on_disconnect = leaves;
         return act;
     }
   }
-  Act decode_act() {
-    static const std::string begins = Worker::stream_head() + Worker::framed(Worker::event(0));
-    Act act{.text = "", .then = Then::keep, .after = act_time()};
+  ScriptedResponse decode_act() {
+    static const std::string begins = FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0));
+    ScriptedResponse act{.response = "", .finish = Then::keep_alive, .delay = act_time()};
     switch (random_.below(16)) {
       case 0:
-        act.text = http::response_text(500, "", "", true);
+        act.response = http::format_response(500, "", "", true);
         return act;
       case 1:
-        act.text = http::response_text(503, "X-Rejected: 1\r\n", "", true);
+        act.response = http::format_response(503, "X-Rejected: 1\r\n", "", true);
         return act;
       case 2:
-        act.then = Then::close;
+        act.finish = Then::close;
         return act;
       case 3:
-        act.then = Then::reset;
+        act.finish = Then::reset;
         return act;
       case 4:
-        act.text = Worker::stream_head() + "3", act.then = Then::hold, act.takes = true;
+        act.response = FakeWorker::stream_head() + "3", act.finish = Then::hang, act.takes_kv = true;
         return act;
       case 5:
-        act.then = Then::abandon;
+        act.finish = Then::end_silently;
         return act;
       case 6:
-        act.text = "HTTP/7 what\r\n\r\n", act.then = Then::close;
+        act.response = "HTTP/7 what\r\n\r\n", act.finish = Then::close;
         return act;
       case 7:
-        act.usual = true, act.after = random_.steps(300);
+        act.use_default = true, act.delay = random_.steps(300);
         return act;
       case 8:
-        act.then = Then::hold;
+        act.finish = Then::hang;
         return act;
       case 9:
-        act.text = begins, act.takes = true, act.then = random_.of({Then::close, Then::reset});
+        act.response = begins, act.takes_kv = true, act.finish = random_.of({Then::close, Then::reset});
         return act;
       case 10:
-        act.text = begins, act.takes = true, act.then = Then::abandon;
+        act.response = begins, act.takes_kv = true, act.finish = Then::end_silently;
         return act;
       case 11:
-        act.then = Then::abandon, act.behind = act_time(),
-        act.later = http::response_text(503, "X-Rejected: 1\r\n", "", true);
+        act.finish = Then::end_silently, act.late_delay = act_time(),
+        act.late_response = http::format_response(503, "X-Rejected: 1\r\n", "", true);
         return act;
       default:
-        act.usual = true, act.after = random_.one_in(2) ? 0 : act.after;
+        act.use_default = true, act.delay = random_.one_in(2) ? 0 : act.delay;
         return act;
     }
   }
-  void draw_acts(Worker& worker) {
+  void draw_acts(FakeWorker& worker) {
     const int good = 1 + random_.below(3);  // as many of so many are usual
     for (int i = 0; i < 12; ++i) {
-      Act act{"", Then::keep, 0, true};
-      if (random_.one_in(good)) act = worker.reads ? prefill_act() : decode_act();
-      worker.acts.push_back(act);
+      ScriptedResponse act{"", Then::keep_alive, 0, true};
+      if (random_.one_in(good)) act = worker.is_prefill ? prefill_act() : decode_act();
+      worker.script.push_back(act);
     }
-    worker.confirms_after = random_.one_in(4) ? random_.steps(6) : 0;
+    worker.release_response_delay = random_.one_in(4) ? random_.steps(6) : 0;
   }
-  bool in_reach(const Worker& worker) const { return !worker.cut && !leaving_.contains(worker.name); }
-  bool another_in_reach(const Worker& but) const {
+  bool in_reach(const FakeWorker& worker) const {
+    return !worker.link_silent && !leaving_.contains(worker.name);
+  }
+  bool another_in_reach(const FakeWorker& but) const {
     return std::ranges::any_of(site_.workers, [&](const auto& w) { return w.get() != &but && in_reach(*w); });
   }
-  Worker& any_worker() {
+  FakeWorker& any_worker() {
     return *site_.workers[static_cast<std::size_t>(random_.below(static_cast<int>(site_.workers.size())))];
   }
 
@@ -375,19 +384,20 @@
   void begin_client(Client like, int budget_ms) {
     clients_.push_back(std::make_unique<Client>(std::move(like)));
     scope_.spawn(
-        run(*clients_.back(), Site::call(clients_.back()->id, Site::prompt(4), std::to_string(budget_ms))));
+        run(*clients_.back(), PlatformFixture::request(clients_.back()->id, PlatformFixture::request_body(4),
+                                                       std::to_string(budget_ms))));
   }
   io::Task<> run(Client& client, std::string request) {
-    const io::Moved made = co_await io::connect(site_.loop, site_.node->address(), client.socket);
+    const io::IoResult made = co_await io::connect(site_.loop, site_.node->address(), client.socket);
     if (!made.ok()) co_return;
-    const io::Moved moved = co_await client.socket.write_all(request);
+    const io::IoResult moved = co_await client.socket.write_all(request);
     client.taken = moved.ok();
     note(fmt::format("client of {} has sent it", client.id));
     io::Scope leaver(site_.loop);
     if (client.leaves == Client::Leaves::later) leaver.spawn(leave_later(client));
     std::array<char, 4096> buffer;
     while (client.socket.is_open()) {
-      const io::Moved got = co_await client.socket.read_some(buffer);
+      const io::IoResult got = co_await client.socket.read_some(buffer);
       if (client.left) co_return;
       if (!got.ok() || got.bytes == 0) break;
       if (client.text.empty()) note(fmt::format("client of {} is answered", client.id));
@@ -408,9 +418,9 @@
     else
       client.socket.close(client.manner == Client::Manner::resets);
   }
-  void answer_crosses(Worker& worker, Client::Leaves moment) {
+  void answer_crosses(FakeWorker& worker, Client::Leaves moment) {
     for (auto& client : clients_) {
-      if (client->id != worker.answering || client->leaves != moment || client->left) continue;
+      if (client->id != worker.responding_to || client->leaves != moment || client->left) continue;
       if (client->answer-- == 0) leave(*client);
     }
   }
@@ -437,7 +447,7 @@
       case 12:
         return silence_connections(any_worker());
       case 13:
-        return silence_discovery(!site_.agent.silent);
+        return silence_discovery(!site_.discovery.unresponsive);
       case 14:
         return random_.one_in(3) ? die(any_worker()) : new_request();
       case 2:
@@ -462,55 +472,55 @@
         terminates_ ? random_.of({400, 1000, 2000, 3000}) : random_.of({400, 1200, 3000, 4800, 8000});
     begin_client(drawn_client(budget_ms), budget_ms);
   }
-  void cut(Worker& worker) {
-    if (worker.cut || !another_in_reach(worker)) return;
-    worker.cut = true;
+  void cut(FakeWorker& worker) {
+    if (worker.link_silent || !another_in_reach(worker)) return;
+    worker.link_silent = true;
     note("link of " + worker.name + " is cut");
   }
   // Connections that are open fall silent for good, while others to that worker pass.
-  void silence_connections(Worker& worker) {
-    if (worker.cut) return;
-    worker.cut_connections = worker.connections;
+  void silence_connections(FakeWorker& worker) {
+    if (worker.link_silent) return;
+    worker.silent_connections = worker.accepted_connections;
     note("connections to " + worker.name + " are silent from now on");
   }
   void cut_stage(bool prefill) {
     for (auto& worker : site_.workers)
-      if (worker->reads == prefill) cut(*worker);
+      if (worker->is_prefill == prefill) cut(*worker);
   }
-  void reconnect(Worker& worker) {
-    if (!worker.cut) return;
+  void reconnect(FakeWorker& worker) {
+    if (!worker.link_silent) return;
     note("link of " + worker.name + " passes");
-    worker.cut = false;
+    worker.link_silent = false;
   }
-  void take_off(Worker& worker) {
+  void take_off(FakeWorker& worker) {
     if (!another_in_reach(worker) || removed_.contains(worker.name)) return;
     const char* state = random_.of({"draining", "draining", "removed"});
     note(fmt::format("{} is listed as {}", worker.name, state));
     leaving_.insert(worker.name);
     if (state == std::string("removed")) removed_.insert(worker.name);
-    site_.agent.put(Site::target(worker, state));
+    site_.discovery.update(PlatformFixture::target(worker, state));
   }
   // What it holds is lost with it.
-  void die(Worker& worker) {
+  void die(FakeWorker& worker) {
     if (!another_in_reach(worker) || dead_.contains(worker.name)) return;
     note(worker.name + " dies");
     leaving_.insert(worker.name), dead_.insert(worker.name);
-    worker.die();
-    std::erase_if(site_.states, [&](const auto& held) { return held.second == worker.name; });
+    worker.crash();
+    std::erase_if(site_.kv_entries, [&](const auto& held) { return held.second == worker.name; });
   }
   void silence_discovery(bool silent) {
     note(silent ? "discovery falls silent" : "discovery is heard again");
-    site_.agent.silent = silent;
+    site_.discovery.unresponsive = silent;
   }
   void reload() {
     note("reload");
-    site_.node->move_discovery(site_.agent.address());
+    site_.node->set_discovery_agent(site_.discovery.address());
   }
   void hold_up() {
     if (site_.loop.now() < held_up_at_ + kHoldUpEach) return;
     held_up_at_ = site_.loop.now();
     const io::Nanos span = kStep + random_.steps(static_cast<int>((kMostHoldUp - kStep) / kStep));
-    site_.loop.jump(site_.loop.now() + span);
+    site_.loop.advance_to(site_.loop.now() + span);
     note(fmt::format("held up for {} ms until here", span / kMs));
   }
   void someone_leaves() {
@@ -518,37 +528,38 @@
     leave(*clients_[static_cast<std::size_t>(random_.below(static_cast<int>(clients_.size())))]);
   }
   void heal() {
-    if (random_.one_in(2)) site_.pass(random_.steps(600) / kMs);
+    if (random_.one_in(2)) site_.run_for(random_.steps(600) / kMs);
     for (auto& worker : site_.workers) reconnect(*worker);
-    site_.agent.silent = false;
+    site_.discovery.unresponsive = false;
   }
 
   // The end.
 
   bool quiet() {
-    const auto& attempts = site_.states.attempts;
-    const bool out = std::ranges::any_of(attempts, [](const auto& entry) { return entry.second.out > 0; });
-    const bool runs = site_.node && site_.node->host().live() > 0;
-    return !out && !runs && site_.states.empty();
+    const auto& attempts = site_.kv_entries.attempts;
+    const bool out = std::ranges::any_of(attempts, [](const auto& entry) { return entry.second.active > 0; });
+    const bool runs = site_.node && site_.node->host().live_requests() > 0;
+    return !out && !runs && site_.kv_entries.empty();
   }
   void run_on() {
     const io::Nanos until = site_.loop.now() + kRunOn;
-    for (int calm = 0; calm < 4 && site_.loop.now() < until; calm = quiet() ? calm + 1 : 0) site_.pass(500);
+    for (int calm = 0; calm < 4 && site_.loop.now() < until; calm = quiet() ? calm + 1 : 0)
+      site_.run_for(500);
     watch_.finish();
   }
   void terminate() {
     platform::Node& node = *site_.node;
     const io::Nanos at = site_.loop.now();
     note("SIGTERM");
-    node.announce_end();
+    node.announce_shutdown();
     pass_with_events(450 * kMs);
     node.drain();
-    site_.pass(100);
+    site_.run_for(100);
     node.close();
     const io::Nanos reconnect_at = at + random_.steps(static_cast<int>(kPassesAgain / kStep));
     const auto go_on = [&] { return site_.loop.now() < at + kKilledAfter; };
     const auto pass_step = [&] {
-      site_.pass(kStep / kMs);
+      site_.run_for(kStep / kMs);
       if (site_.loop.now() < reconnect_at) return;
       for (auto& worker : site_.workers) reconnect(*worker);
     };
@@ -566,7 +577,7 @@
   void pass_with_events(io::Nanos span) {
     const io::Nanos until = site_.loop.now() + span;
     while (site_.loop.now() < until) {
-      site_.pass(std::min(until - site_.loop.now(), kStep + random_.steps(30)) / kMs);
+      site_.run_for(std::min(until - site_.loop.now(), kStep + random_.steps(30)) / kMs);
       if (site_.loop.now() < until) happen();
     }
   }
@@ -574,11 +585,11 @@
   // The rules.
 
   void held_too_long(const std::string& id, io::Nanos span) {
-    const bool for_good = site_.states.contains(id);
+    const bool for_good = site_.kv_entries.contains(id);
     const io::Nanos limit = drawn_.limit_ms * kMs;
     const Nanos expected = expectations_.longest();
-    const bool by_expectation = drawn_.effect != "fragile" && site_.states.attempts[id].unheard &&
-                                span <= limit + kHeldSlack + expected;
+    const bool by_expectation = drawn_.effect != "fragile" && site_.kv_entries.attempts[id].end_not_heard &&
+                                span <= limit + kHoldLimitSlack + expected;
     const char* kind = for_good               ? "held for good"
                        : !by_expectation      ? "held too long"
                        : expected > limit / 2 ? kKnownRed
@@ -588,8 +599,9 @@
   }
   void judge_node() {
     const router::Host& host = site_.node->host();
-    if (!terminates_ && host.live() != 0) breaks("requests live on", std::to_string(host.live()));
-    for (std::size_t i = 0; i < core::kInvariants; ++i)
+    if (!terminates_ && host.live_requests() != 0)
+      breaks("requests live on", std::to_string(host.live_requests()));
+    for (std::size_t i = 0; i < core::kInvariantCount; ++i)
       if (host.invariants().violations(static_cast<core::Invariant>(i)) > 0)
         breaks(fmt::format("invariant {}", core::kInvariantNames[i]), "");
   }
@@ -612,7 +624,7 @@
   Random random_;
   const Drawn drawn_;
   Expectations expectations_;
-  Site site_;
+  PlatformFixture site_;
   UnattendedWatch watch_;
   bool terminates_{};
   io::Nanos begun_{};
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -21,57 +21,62 @@
 
 namespace {
 
-using While = HoldWatch::While;
+using While = KvHoldMonitor::Measure;
 
 // Ends at the worker after so long without a word to the router.
-Act answer_lost(io::Nanos after) { return {"", Act::Then::hold, after, false, true}; }
-Act ends_silently(io::Nanos after) { return {"", Act::Then::abandon, after}; }
+ScriptedResponse answer_lost(io::Nanos after) {
+  return {"", ScriptedResponse::Finish::hang, after, false, true};
+}
+ScriptedResponse ends_silently(io::Nanos after) {
+  return {"", ScriptedResponse::Finish::end_silently, after};
+}
 // Begins its answer, and its end is lost.
-Act stream_end_lost() {
-  return {.text = Worker::stream_head() + Worker::framed(Worker::event(0)),
-          .then = Act::Then::abandon,
-          .after = 20 * kMs,
-          .takes = true};
+ScriptedResponse stream_end_lost() {
+  return {.response = FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0)),
+          .finish = ScriptedResponse::Finish::end_silently,
+          .delay = 20 * kMs,
+          .takes_kv = true};
 }
 // The answer is under way for so long.
-Act prefill_answer_late(io::Nanos behind) {
-  return {.text = "",
-          .after = 20 * kMs,
-          .usual = false,
-          .leaves = true,
-          .later = http::response_text(202, "", "{\"cached_tokens\":128}", true),
-          .behind = behind};
+ScriptedResponse prefill_answer_late(io::Nanos behind) {
+  return {.response = "",
+          .delay = 20 * kMs,
+          .use_default = false,
+          .leaves_kv = true,
+          .late_response = http::format_response(202, "", "{\"cached_tokens\":128}", true),
+          .late_delay = behind};
 }
-Act refusal_late(io::Nanos behind) {
-  return {.text = "",
-          .then = Act::Then::abandon,
-          .after = 20 * kMs,
-          .later = http::response_text(503, "X-Rejected: 1\r\n", "", true),
-          .behind = behind};
+ScriptedResponse refusal_late(io::Nanos behind) {
+  return {.response = "",
+          .finish = ScriptedResponse::Finish::end_silently,
+          .delay = 20 * kMs,
+          .late_response = http::format_response(503, "X-Rejected: 1\r\n", "", true),
+          .late_delay = behind};
 }
-Act slow(io::Nanos after) { return {"", Act::Then::keep, after, true}; }
+ScriptedResponse slow(io::Nanos after) { return {"", ScriptedResponse::Finish::keep_alive, after, true}; }
 
-void act(Site& s, bool reads, const Act& act, std::size_t times = 20) {
+void act(PlatformFixture& s, bool reads, const ScriptedResponse& act, std::size_t times = 20) {
   for (auto& w : s.workers)
-    if (w->reads == reads) w->acts = std::deque<Act>(times, act);
+    if (w->is_prefill == reads) w->script = std::deque<ScriptedResponse>(times, act);
 }
 // The router learns that work of that stage takes long.
-void learn_slow(Site& s, bool reads, io::Nanos span) {
-  warm(s);
+void learn_slow(PlatformFixture& s, bool reads, io::Nanos span) {
+  warm_up(s);
   act(s, reads, slow(span), 3);
-  for (int i = 0; i < 6; ++i) s.send("slow" + std::to_string(i), Site::call("s" + std::to_string(i)));
-  for (int i = 0; i < 6; ++i) REQUIRE(s.answer("slow" + std::to_string(i)).status == 200);
+  for (int i = 0; i < 6; ++i)
+    s.send("slow" + std::to_string(i), PlatformFixture::request("s" + std::to_string(i)));
+  for (int i = 0; i < 6; ++i) REQUIRE(s.response("slow" + std::to_string(i)).status == 200);
   act(s, reads, {}, 0);
-  s.pass(100);
+  s.run_for(100);
 }
-void cut(Site& s, bool reads, bool silent = true) {
+void cut(PlatformFixture& s, bool reads, bool silent = true) {
   for (auto& w : s.workers)
-    if (w->reads == reads) w->cut = silent;
+    if (w->is_prefill == reads) w->link_silent = silent;
 }
 
-void nothing_is_left(Site& s, const HoldWatch& watch, int limit_ms) {
-  check_held(watch, limit_ms * kMs);
-  CHECK(s.states.empty());
+void nothing_is_left(PlatformFixture& s, const KvHoldMonitor& watch, int limit_ms) {
+  check_longest_hold(watch, limit_ms * kMs);
+  CHECK(s.kv_entries.empty());
 }
 
 // Prefills that were slow before end at once, and three of four workers' answers are lost on connections that stay open.
@@ -82,20 +87,20 @@
         CAPTURE(limit_ms);
         CAPTURE(parallel);
         CAPTURE(cancelling);
-        json settings = with_limit(limit_ms, parallel, cancelling);
+        json settings = settings_with_hold_limit(limit_ms, parallel, cancelling);
         settings["services"][0]["effect"] = effect;
-        Site s(4, 4, settings);
+        PlatformFixture s(4, 4, settings);
         learn_slow(s, true, std::min(400, limit_ms) * kMs);  // what takes longer than the limit may be voided
         act(s, true, answer_lost(30 * kMs));
-        s.worker("reader-3").acts.clear();
-        HoldWatch watch(s, While::unattended);
-        SUBCASE("the client waits") { send_some(s, 12, "3000"); }
-        SUBCASE("the client leaves") { send_some(s, 12, "3000", 60 * kMs); }
+        s.worker("reader-3").script.clear();
+        KvHoldMonitor watch(s, While::unattended);
+        SUBCASE("the client waits") { send_requests(s, 12, "3000"); }
+        SUBCASE("the client leaves") { send_requests(s, 12, "3000", 60 * kMs); }
         SUBCASE("decode workers are silent as well") {
           cut(s, false);
-          send_some(s, 12, "3000");
+          send_requests(s, 12, "3000");
         }
-        s.pass(5000);
+        s.run_for(5000);
         nothing_is_left(s, watch, limit_ms);
       }
 }
@@ -111,19 +116,19 @@
     "what it left is released within the limit, counted from its end") {
   for (const int learned_ms : {150, 200, 250}) {
     CAPTURE(learned_ms);
-    Site s(1, 1, with_limit(1000));
-    warm(s);
+    PlatformFixture s(1, 1, settings_with_hold_limit(1000));
+    warm_up(s);
     act(s, true, slow(learned_ms * kMs), 6);
     for (int i = 0; i < 6; ++i) {
-      s.send("slow" + std::to_string(i), Site::call("s" + std::to_string(i)));
-      s.pass(20);
+      s.send("slow" + std::to_string(i), PlatformFixture::request("s" + std::to_string(i)));
+      s.run_for(20);
     }
-    s.pass(3000);
+    s.run_for(3000);
     act(s, true, answer_lost(10 * kMs));
-    HoldWatch watch(s, While::unattended);
-    send_some(s, 1, "4800");
-    s.pass(9000);
-    check_held(watch, 1000 * kMs);
+    KvHoldMonitor watch(s, While::unattended);
+    send_requests(s, 1, "4800");
+    s.run_for(9000);
+    check_longest_hold(watch, 1000 * kMs);
   }
 }
 
@@ -137,88 +142,88 @@
   for (const int limit_ms : {300, 500, 1000}) {
     CAPTURE(limit_ms);
     SUBCASE("a decode attempt waits at a worker whose link is silent, past its request's end") {
-      Site s(2, 2, with_limit(limit_ms, false, false));
-      warm(s);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms, false, false));
+      warm_up(s);
       act(s, false, ends_silently(2400 * kMs));
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 4, "1200");
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 4, "1200");
       cut(s, false);  // what has arrived waits there; the end of its connection does not arrive
-      s.pass(2500);
+      s.run_for(2500);
       cut(s, false, false);
-      s.pass(4000);
+      s.run_for(4000);
       nothing_is_left(s, watch, limit_ms);
     }
     SUBCASE("a decode attempt waits on a connection that alone is silent, past its request's end") {
-      Site s(2, 2, with_limit(limit_ms, false, false));
-      warm(s);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms, false, false));
+      warm_up(s);
       act(s, false, ends_silently(4000 * kMs));
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 2, "800");
-      s.pass(4200 + limit_ms);
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 2, "800");
+      s.run_for(4200 + limit_ms);
       nothing_is_left(s, watch, limit_ms);
     }
     SUBCASE("a decode attempt ends at its worker while the router still waits for its answer") {
-      Site s(2, 2, with_limit(limit_ms));
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
       learn_slow(s, false, 1500 * kMs);
       act(s, false, ends_silently(600 * kMs));
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 4, "4800");
-      s.pass(8000);
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 4, "4800");
+      s.run_for(8000);
       nothing_is_left(s, watch, limit_ms);
     }
     SUBCASE("a prefill arrives after the releases of its request, which is over") {
-      Site s(2, 2, with_limit(limit_ms));
-      warm(s);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
+      warm_up(s);
       cut(s, true);
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 4, "400");
-      s.pass(1500);
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 4, "400");
+      s.run_for(1500);
       cut(s, true, false);
-      s.pass(4000);
+      s.run_for(4000);
       nothing_is_left(s, watch, limit_ms);
     }
     SUBCASE("a prefill arrives after another one's KV cache was taken") {
-      Site s(2, 2, with_limit(limit_ms));
-      warm(s);
-      s.worker("reader-0").cut = true;
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 8, "4800");
-      for (int i = 0; i < 8; ++i) REQUIRE(s.answer("a" + std::to_string(i)).status == 200);
-      s.pass(1500);
-      s.worker("reader-0").cut = false;
-      s.pass(4000);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
+      warm_up(s);
+      s.worker("reader-0").link_silent = true;
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 8, "4800");
+      for (int i = 0; i < 8; ++i) REQUIRE(s.response("a" + std::to_string(i)).status == 200);
+      s.run_for(1500);
+      s.worker("reader-0").link_silent = false;
+      s.run_for(4000);
       nothing_is_left(s, watch, limit_ms);
     }
     SUBCASE("a prefill is refused after one whose answer was lost") {
-      Site s(1, 2, with_limit(limit_ms));
-      warm(s);
-      s.worker("reader-0").acts = always_full();
-      s.worker("reader-0").acts.push_front(answer_lost(20 * kMs));
-      for (auto& w : s.workers) w->loses_releases = true;
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 1, "3000");
-      REQUIRE(
-          s.until([&] { return s.lines("POST") >= 9; }));  // the warm ones, the lost one, and a refused one
-      s.pass(60);
-      for (auto& w : s.workers) w->loses_releases = false;
-      s.pass(4000);
+      PlatformFixture s(1, 2, settings_with_hold_limit(limit_ms));
+      warm_up(s);
+      s.worker("reader-0").script = always_reject();
+      s.worker("reader-0").script.push_front(answer_lost(20 * kMs));
+      for (auto& w : s.workers) w->ignores_releases = true;
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 1, "3000");
+      REQUIRE(s.run_until(
+          [&] { return s.count_requests("POST") >= 9; }));  // the warm ones, the lost one, and a refused one
+      s.run_for(60);
+      for (auto& w : s.workers) w->ignores_releases = false;
+      s.run_for(4000);
       nothing_is_left(s, watch, limit_ms);
     }
     SUBCASE("the process ends while a decode attempt waits at a worker whose link is silent") {
-      Site s(2, 2, with_limit(limit_ms, false, false));
-      warm(s);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms, false, false));
+      warm_up(s);
       act(s, false, ends_silently(1800 * kMs));
-      HoldWatch watch(s, While::unattended);
-      send_some(s, 2, "800");
+      KvHoldMonitor watch(s, While::unattended);
+      send_requests(s, 2, "800");
       cut(s, false);
-      s.node->announce_end();
-      s.pass(450);
+      s.node->announce_shutdown();
+      s.run_for(450);
       s.node->drain();
-      s.pass(100);
+      s.run_for(100);
       s.node->close();
       bool settled = false;
       for (int i = 0; i < 31 && !settled; ++i) {  // SIGKILL may come 3.7 s after SIGTERM
-        s.pass(100);
+        s.run_for(100);
         settled = s.node->settled();
         if (i == 12) cut(s, false, false);
       }
@@ -234,15 +239,15 @@
     "left is released within the limit") {
   for (const int limit_ms : {300, 500, 1000}) {
     CAPTURE(limit_ms);
-    Site s(2, 2, with_limit(limit_ms, true, false));
-    warm(s);
+    PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms, true, false));
+    warm_up(s);
     act(s, false, stream_end_lost());
-    s.worker("reader-0").cut = true;
-    HoldWatch watch(s, While::unattended);
-    send_some(s, 4, "4800");
-    s.pass(400);
-    s.worker("reader-0").cut = false;
-    s.pass(2500);
+    s.worker("reader-0").link_silent = true;
+    KvHoldMonitor watch(s, While::unattended);
+    send_requests(s, 4, "4800");
+    s.run_for(400);
+    s.worker("reader-0").link_silent = false;
+    s.run_for(2500);
     nothing_is_left(s, watch, limit_ms);
     CHECK(s.node->host().invariants().violations() == 0);
   }
@@ -254,23 +259,23 @@
       const io::Nanos behind = limit_ms * kMs * percent / 100;
       CAPTURE(limit_ms);
       CAPTURE(percent);
-      Site s(2, 2, with_limit(limit_ms, false, false));
-      warm(s);
-      HoldWatch watch(s, While::unattended);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms, false, false));
+      warm_up(s);
+      KvHoldMonitor watch(s, While::unattended);
       SUBCASE("a prefill, and the links to decode workers are silent") {
         act(s, true, prefill_answer_late(behind));
         cut(s, false);
       }
       SUBCASE("a decode attempt that is refused, and the links to decode workers fall silent") {
         act(s, false, refusal_late(behind));
-        send_some(s, 4, "4800");
-        s.pass(60);
+        send_requests(s, 4, "4800");
+        s.run_for(60);
         cut(s, false);
-        s.pass(behind / kMs);
+        s.run_for(behind / kMs);
       }
-      send_some(s, 4, "4800");
-      s.pass(3 * limit_ms);
-      check_held(watch, limit_ms * kMs);
+      send_requests(s, 4, "4800");
+      s.run_for(3 * limit_ms);
+      check_longest_hold(watch, limit_ms * kMs);
     }
 }
 
--- a/tests/hold_model_test.cpp
+++ b/tests/hold_model_test.cpp
@@ -27,7 +27,9 @@
 void of_attempt(HoldModel& model, int attempt, std::initializer_list<Happening> all) {
   for (const Happening what : all) happens(model, {.what = what, .attempt = attempt});
 }
-void pass(HoldModel& model, Nanos span) { happens(model, {.what = Happening::time_passes, .value = span}); }
+void run_for(HoldModel& model, Nanos span) {
+  happens(model, {.what = Happening::time_passes, .value = span});
+}
 
 }  // namespace
 
@@ -71,7 +73,7 @@
               Happening::stream_ends});
   happens(model, {.what = Happening::link_passes, .worker = 0});
   of_attempt(model, 0, {Happening::request_arrives, Happening::prefill_ends, Happening::answer_arrives});
-  pass(model, 6000 * kMs);
+  run_for(model, 6000 * kMs);
   CHECK(model.breach().value_or("") == "");
 }
 
@@ -82,7 +84,7 @@
   of_attempt(model, 0, {Happening::request_arrives});
   model.apply({.what = Happening::prefill_ends, .attempt = 0});
   happens(model, {.what = Happening::link_falls_silent, .worker = 0});
-  pass(model, 6000 * kMs);
+  run_for(model, 6000 * kMs);
   CHECK(model.breach().has_value());
 }
 
