--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -35,17 +35,17 @@
     seen += " ";
   };
   worth(0);
-  for (int i = 0; i < 40; ++i) reuse.answered(10 * kMs, i * kMs);
-  reuse.broke(300 * kMs, 50 * kMs);  // one loss says little
+  for (int i = 0; i < 40; ++i) reuse.record_response(10 * kMs, i * kMs);
+  reuse.record_loss(300 * kMs, 50 * kMs);  // one loss says little
   worth(60 * kMs);
-  reuse.broke(300 * kMs, 70 * kMs), reuse.broke(10 * kMs, 70 * kMs);
+  reuse.record_loss(300 * kMs, 70 * kMs), reuse.record_loss(10 * kMs, 70 * kMs);
   worth(80 * kMs);
   worth(11 * io::kSecond);  // it is tried again
   CHECK(seen == "++++++ ++++++ +++-++ ++++++ ");
 }
 
 TEST_CASE("bytes that were seen and left are all read later, however many reads they take") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   io::Scope scope(loop);
   std::size_t got = 0;
@@ -59,7 +59,7 @@
     io::Socket s = co_await from.accept();
     {
       io::Scope watch(l);  // as while a request is in hand: does the client leave?
-      watch.spawn(s.peer_gone());
+      watch.spawn(s.wait_for_peer_close());
       co_await l.sleep_for(100 * kMs);
     }
     std::array<char, 1000> some;
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("timers run in the order of their times, those of one time as they were set; the clock jumps") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   const io::Nanos start = loop.now();
   std::string order;
   {
@@ -123,8 +123,8 @@
     }
     const auto sorted = set();
     const std::int64_t first = sorted.empty() ? io::TimerWheel<Entry>::kNone : sorted.front()->at;
-    REQUIRE(wheel->next() == first);
-    REQUIRE(wheel->next_at_least() <= first);
+    REQUIRE(wheel->next_due() == first);
+    REQUIRE(wheel->next_due_lower_bound() <= first);
     // Now and then time goes on: a little, to the next timer exactly, or far past many.
     if (next(3) == 0) now += static_cast<std::int64_t>(next(static_cast<std::uint64_t>(kSpans[next(4)])));
     if (next(8) == 0 && !sorted.empty()) now = std::max(now, first);
@@ -140,17 +140,17 @@
 }
 
 TEST_CASE("a task that is not done in time is cancelled, frame and all") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   bool gone = false;
   std::optional<int> late, early;
   io::Scope scope(loop);
   scope.spawn([](io::Loop& l, bool& g, std::optional<int>& a, std::optional<int>& b) -> io::Task<> {
-    a = co_await io::within(l, l.now() + 10 * kMs, [](io::Loop& inner, bool& flag) -> io::Task<int> {
+    a = co_await io::with_deadline(l, l.now() + 10 * kMs, [](io::Loop& inner, bool& flag) -> io::Task<int> {
       Gone tell{flag};
       co_await inner.sleep_for(50 * kMs);
       co_return 1;
     }(l, g));
-    b = co_await io::within(l, l.now() + 10 * kMs, twice(l, 4));
+    b = co_await io::with_deadline(l, l.now() + 10 * kMs, twice(l, 4));
   }(loop, gone, late, early));
   loop.run_until([&] { return scope.empty(); });
   CHECK(!late);
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE("cancellation reaches accept, read, write, connect, sleep, and a signal") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   io::Listener full(loop, kAnyPort, 0);
   io::Signal never(loop);
@@ -220,7 +220,7 @@
 }
 
 TEST_CASE("closing a socket under a coroutine that waits on it wakes it with an error") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   io::Socket client;
   int error = 0;
@@ -228,7 +228,7 @@
   scope.spawn([](io::Loop& l, io::Address a, io::Socket& to, int& e) -> io::Task<> {
     co_await io::connect(l, a, to);
     std::array<char, 8> some;
-    const io::Moved m = co_await to.read_some(some);
+    const io::IoResult m = co_await to.read_some(some);
     e = m.error;
   }(loop, listener.address(), client, error));
   scope.spawn([](io::Loop& l, io::Socket& s) -> io::Task<> {
@@ -240,7 +240,7 @@
 }
 
 TEST_CASE("texts written together arrive whole and in order, though the reader is slow and the kernel full") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   std::vector<std::string> texts;
   std::string whole;
@@ -248,9 +248,9 @@
     texts.push_back(std::string(static_cast<std::size_t>(i * 4000), static_cast<char>('a' + i % 26)));
   for (const std::string& t : texts) whole += t;
   std::string got;
-  io::Moved wrote;
+  io::IoResult wrote;
   io::Scope scope(loop);
-  scope.spawn([](io::Listener& l, const std::vector<std::string>& all, io::Moved& to) -> io::Task<> {
+  scope.spawn([](io::Listener& l, const std::vector<std::string>& all, io::IoResult& to) -> io::Task<> {
     io::Socket socket = co_await l.accept();
     const std::vector<std::string_view> parts(all.begin(), all.end());
     to = co_await socket.write_all(parts);
@@ -261,7 +261,7 @@
     std::vector<char> buffer(30'000);
     for (;;) {
       co_await l.sleep_for(kMs);
-      const io::Moved moved = co_await socket.read_some(buffer);
+      const io::IoResult moved = co_await socket.read_some(buffer);
       if (!moved.ok() || moved.bytes == 0) break;
       all.append(buffer.data(), moved.bytes);
     }
@@ -273,29 +273,31 @@
 }
 
 TEST_CASE("a request that came while the one before it was answered is read after it") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   std::string targets;
-  http::Server server(loop, kAnyPort, [&](http::Request& request, http::Answer& answer) -> io::Task<> {
-    io::Scope watch(loop);
-    watch.spawn([](http::Answer& a) -> io::Task<> { co_await a.peer_gone(); }(answer));
-    const std::string target(request.head.target);
-    co_await loop.sleep_for(20 * kMs);  // the next request comes meanwhile, and is seen by the watch
-    watch.cancel();
-    targets += target + " " + request.body + ";";
-    co_await answer.whole(200, "", "");
-  });
+  http::Server server(
+      loop, kAnyPort, [&](http::Request& request, http::ResponseWriter& answer) -> io::Task<> {
+        io::Scope watch(loop);
+        watch.spawn(
+            [](http::ResponseWriter& a) -> io::Task<> { co_await a.wait_for_client_close(); }(answer));
+        const std::string target(request.head.target);
+        co_await loop.sleep_for(20 * kMs);  // the next request comes meanwhile, and is seen by the watch
+        watch.cancel();
+        targets += target + " " + request.body + ";";
+        co_await answer.respond(200, "", "");
+      });
   std::size_t answers = 0;
   io::Scope scope(loop);
   scope.spawn([](io::Loop& l, io::Address to, std::size_t& n) -> io::Task<> {
     io::Socket socket;
     co_await io::connect(l, to, socket);
     for (const char* target : {"/one", "/two", "/three"}) {
-      co_await socket.write_all(http::request_text("POST", target, "h", "", "b"));
+      co_await socket.write_all(http::format_request("POST", target, "h", "", "b"));
       co_await l.sleep_for(5 * kMs);
     }
-    http::Reader reader(socket, http::Kind::response);
+    http::MessageReader reader(socket, http::MessageKind::response);
     http::Head head;
-    for (int i = 0; i < 3; ++i) n += co_await reader.head(head) == http::Fault::none;
+    for (int i = 0; i < 3; ++i) n += co_await reader.read_head(head) == http::MessageError::none;
   }(loop, server.address(), answers));
   loop.run_until([&] { return scope.empty(); });
   CHECK(answers == 3);
@@ -311,18 +313,18 @@
       "HTTP/1.1 202 Accepted\r\nX-Load-Report: a=1\r\nTransfer-Encoding: chunked\r\n\r\n"
       "2\r\nhe\r\n3;ext=1\r\nllo\r\n0\r\nTrailer: t\r\n\r\n";
   struct Case {
-    http::Kind kind;
+    http::MessageKind kind;
     const std::string& text;
     const char* expected;
   };
   const Case cases[] = {
-      {http::Kind::request, request,
+      {http::MessageKind::request, request,
        "POST /v1/chat?x=1 0 host=h x-call-id=9b1f x-empty= content-length=5 | hello"},
-      {http::Kind::response, chunked, "  202 x-load-report=a=1 transfer-encoding=chunked | hello"},
+      {http::MessageKind::response, chunked, "  202 x-load-report=a=1 transfer-encoding=chunked | hello"},
   };
   // One connection for each: the text is cut into pieces of that size, the first of them so much shorter.
   const auto read = [](const Case& c, std::size_t size, std::size_t shorter) {
-    io::Loop loop(io::Loop::Time::handed);
+    io::Loop loop(io::Loop::Clock::simulated);
     io::Listener listener(loop, kAnyPort);
     std::string got;
     io::Scope scope(loop);
@@ -337,16 +339,16 @@
           co_await l.sleep_for(kMs);
         }
     }(loop, listener.address(), c.text, size, shorter));
-    scope.spawn([](io::Listener& from, http::Kind kind, std::string& to) -> io::Task<> {
+    scope.spawn([](io::Listener& from, http::MessageKind kind, std::string& to) -> io::Task<> {
       io::Socket socket = co_await from.accept();
-      http::Reader reader(socket, kind);
+      http::MessageReader reader(socket, kind);
       for (int i = 0; i < 2; ++i) {
         http::Head head;
         std::string body;
-        if (const auto fault = co_await reader.head(head); fault != http::Fault::none)
-          co_return void(to += http::word(fault));
+        if (const auto fault = co_await reader.read_head(head); fault != http::MessageError::none)
+          co_return void(to += http::to_string(fault));
         to += std::string(head.method) + " " + std::string(head.target) + " " + std::to_string(head.status);
-        co_await reader.rest(body);
+        co_await reader.read_body(body);
         for (const auto& [name, value] : head.fields) to.append(" ").append(name).append("=").append(value);
         to += " | " + body + "\n";
       }
@@ -365,47 +367,47 @@
 }
 
 TEST_CASE("a stream may be of any length; what is kept whole is bounded") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   constexpr std::size_t kParts = 300, kPart = 40'000;
-  http::Server server(loop, kAnyPort, [&](http::Request&, http::Answer& answer) -> io::Task<> {
+  http::Server server(loop, kAnyPort, [&](http::Request&, http::ResponseWriter& answer) -> io::Task<> {
     const std::string part(kPart, 'x');
-    answer.begin_with_part(200, "");
+    answer.begin_stream_deferred(200, "");
     for (std::size_t i = 0; i < kParts; ++i)
-      if (!co_await answer.part(part)) co_return;
-    co_await answer.end("last");
+      if (!co_await answer.write_chunk(part)) co_return;
+    co_await answer.end_stream("last");
   });
   std::size_t streamed = 0;
-  http::Fault ended{}, kept{};
+  http::MessageError ended{}, kept{};
   io::Scope scope(loop);
-  scope.spawn(
-      [](io::Loop& l, io::Address to, std::size_t& bytes, http::Fault& one, http::Fault& two) -> io::Task<> {
-        for (const bool whole : {false, true}) {
-          io::Socket socket;
-          co_await io::connect(l, to, socket);
-          co_await socket.write_all(http::request_text("GET", "/", "h", "", ""));
-          http::Reader reader(socket, http::Kind::response);
-          http::Head head;
-          co_await reader.head(head);
-          std::string all;
-          if (whole) {
-            two = co_await reader.rest(all);
-            continue;
-          }
-          while (reader.more() && one == http::Fault::none) {
-            std::span<const std::string_view> pieces;
-            one = co_await reader.pieces(pieces);
-            for (const std::string_view piece : pieces) bytes += piece.size();
-          }
-        }
-      }(loop, server.address(), streamed, ended, kept));
+  scope.spawn([](io::Loop& l, io::Address to, std::size_t& bytes, http::MessageError& one,
+                 http::MessageError& two) -> io::Task<> {
+    for (const bool whole : {false, true}) {
+      io::Socket socket;
+      co_await io::connect(l, to, socket);
+      co_await socket.write_all(http::format_request("GET", "/", "h", "", ""));
+      http::MessageReader reader(socket, http::MessageKind::response);
+      http::Head head;
+      co_await reader.read_head(head);
+      std::string all;
+      if (whole) {
+        two = co_await reader.read_body(all);
+        continue;
+      }
+      while (reader.has_more() && one == http::MessageError::none) {
+        std::span<const std::string_view> pieces;
+        one = co_await reader.read_body_pieces(pieces);
+        for (const std::string_view piece : pieces) bytes += piece.size();
+      }
+    }
+  }(loop, server.address(), streamed, ended, kept));
   loop.run_until([&] { return scope.empty(); });
-  CHECK(ended == http::Fault::none);
+  CHECK(ended == http::MessageError::none);
   CHECK(streamed == kParts * kPart + 4);
-  CHECK(kept == http::Fault::body_large);
+  CHECK(kept == http::MessageError::body_too_large);
 }
 
 TEST_CASE("addresses are read whole or not at all") {
-  CHECK(io::parse_address("127.0.0.1:80")->text() == "127.0.0.1:80");
+  CHECK(io::parse_address("127.0.0.1:80")->to_string() == "127.0.0.1:80");
   for (const char* bad : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:80x", "127.0.0.1:70000",
                           "host:80", "1.2.3:4"})
     CHECK(!io::parse_address(bad));
@@ -415,47 +417,47 @@
   const std::string body =
       ": a remark\ndata: one\n\ndata:two\r\n\r\nevent: x\ndata: a\ndata: b\n\n\ndata: cut";
   for (std::size_t step = 1; step < body.size(); ++step) {
-    http::Events events;
+    http::SseParser events;
     std::string got;
     for (std::size_t i = 0; i < body.size(); i += step) {
       events.feed(std::string_view(body).substr(i, step));
       while (const auto e = events.next()) got.append("[").append(*e).append("]");
     }
     CHECK(got == "[one][two][a\nb]");
-    CHECK(events.partial() > 0);
+    CHECK(events.pending_bytes() > 0);
   }
 }
 
 TEST_CASE("kept connections are used again, stale ones made anew, and a full pool makes others wait") {
-  io::Loop loop(io::Loop::Time::handed);
+  io::Loop loop(io::Loop::Clock::simulated);
   int served = 0;
-  http::Server server(loop, kAnyPort, [&](http::Request& rq, http::Answer& answer) -> io::Task<> {
+  http::Server server(loop, kAnyPort, [&](http::Request& rq, http::ResponseWriter& answer) -> io::Task<> {
     ++served;
     co_await loop.sleep_for(20 * kMs);
-    co_await answer.whole(200, "", rq.body);
+    co_await answer.respond(200, "", rq.body);
   });
   auto pool =
-      std::make_shared<http::Pool>(loop, server.address(), http::PoolBounds{250 * kMs, io::kSecond, 8, 2});
+      std::make_shared<http::Pool>(loop, server.address(), http::PoolLimits{250 * kMs, io::kSecond, 8, 2});
   int ok = 0;
   io::Scope scope(loop);
   const auto ask = [&] {
     scope.spawn([](std::shared_ptr<http::Pool> p, int& n) -> io::Task<> {
-      const std::string text = http::request_text("POST", "/", "h", "", "hello");
-      const http::Exchange e = co_await http::exchange(p, text);
+      const std::string text = http::format_request("POST", "/", "h", "", "hello");
+      const http::ExchangeResult e = co_await http::exchange(p, text);
       n += e.ok() && e.body == "hello";
     }(pool, ok));
   };
   for (int i = 0; i < 6; ++i) ask();
   loop.run_until([&] { return scope.empty(); });
   CHECK(ok == 6);
-  CHECK(pool->dialled() == 2);
+  CHECK(pool->dial_count() == 2);
   scope.spawn([](io::Loop& l) -> io::Task<> { co_await l.sleep_for(2 * io::kSecond); }(loop));
   loop.run_until([&] { return scope.empty(); });
-  CHECK(pool->open() == 0);  // kept no longer than told
+  CHECK(pool->open_count() == 0);  // kept no longer than told
   ask();
   loop.run_until([&] { return scope.empty(); });
   CHECK(ok == 7);
-  CHECK(pool->dialled() == 3);
+  CHECK(pool->dial_count() == 3);
 }
 
 }  // namespace cressrill::testing
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -11,7 +11,7 @@
 inline const io::Address kAnyPort{127u << 24 | 1, 0};
 
 // Runs all that happens in so many milliseconds.
-inline void pass(io::Loop& loop, std::int64_t ms) {
+inline void run_for(io::Loop& loop, std::int64_t ms) {
   bool over = false;
   io::Scope timer(loop);
   timer.spawn([](io::Loop& l, io::Nanos until, bool& o) -> io::Task<> {
@@ -22,7 +22,7 @@
 }
 
 inline void append_chunk(std::string& to, std::string_view data) {
-  to.append(http::ChunkLine(data.size()).text()).append(data).append(http::kChunkEnd);
+  to.append(http::ChunkSizeLine(data.size()).text()).append(data).append(http::kChunkEnd);
 }
 
 }  // namespace cressrill::testing
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -16,14 +16,14 @@
 
 std::string whole_stream(int events) {
   std::string out;
-  for (int i = 0; i < events; ++i) out += Worker::event(i);
-  return out + Worker::ending();
+  for (int i = 0; i < events; ++i) out += FakeWorker::event(i);
+  return out + FakeWorker::stream_end();
 }
 std::string begun();
-Act spoilt(std::string later, io::Nanos behind = 50 * kMs) {
-  return {begun(), Act::Then::hold, 0, false, false, std::move(later), behind};
+ScriptedResponse spoilt(std::string later, io::Nanos behind = 50 * kMs) {
+  return {begun(), ScriptedResponse::Finish::hang, 0, false, false, std::move(later), behind};
 }
-std::string begun() { return Worker::stream_head() + Worker::framed(Worker::event(0)); }
+std::string begun() { return FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0)); }
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 TEST_CASE("nested settings become the lines of the simulator's first message") {
   const json settings =
       json::parse(R"({"a":{"b":[1.5,2.0],"c":"two words, and","d":[]},"e":[{"f":true},{"f":false}]})");
-  CHECK(platform::flattened(settings) ==
+  CHECK(platform::flatten_settings(settings) ==
         "a.b=1.5,2.0\na.c=two_words__and\na.d=\ne.count=2\ne.0.f=true\ne.1.f=false\n");
 }
 
@@ -42,13 +42,13 @@
                      {"discovery", "127.0.0.1:1"},
                      {"seed", "8c1f"},
                      {"limits", {{"memory_mb", 64}, {"sockets", 256}}},
-                     {"settings", small_settings()}};
-  CHECK(platform::read_placement(good.dump()).seed == 0x8c1f);
+                     {"settings", test_settings()}};
+  CHECK(platform::read_node_config(good.dump()).seed == 0x8c1f);
   const auto why = [&](const std::function<void(json&)>& change) {
     json bad = good;
     change(bad);
     try {
-      platform::read_placement(bad.dump());
+      platform::read_node_config(bad.dump());
     } catch (const std::invalid_argument& e) {
       return std::string(e.what());
     }
@@ -62,55 +62,55 @@
   CHECK(why([](json& j) { j["limits"]["sockets"] = -1; }) == "configuration: 'limits.sockets' is -1");
   CHECK(why([](json& j) { j["settings"].erase("instances"); }) ==
         "configuration: settings: 'instances' is missing");
-  CHECK_THROWS_AS(platform::read_placement("{"), std::invalid_argument);
+  CHECK_THROWS_AS(platform::read_node_config("{"), std::invalid_argument);
 }
 
 TEST_CASE("a list of discovery: entries that lack something are left out and counted") {
-  const auto told = platform::read_list(
+  const auto told = platform::parse_discovery_list(
       R"({"rev":41,"all":true,"targets":[
         {"uid":"a","endpoint":"127.0.0.1:1","az":"east","model":"prefill","pod_group":3,"state":"up","boot_ms":1500},
         {"uid":"b","endpoint":"127.0.0.1:1","az":"east","model":"prefill","pod_group":3,"state":"odd"},
         {"endpoint":"127.0.0.1:1","state":"up","pod_group":3}, 7]})");
-  CHECK(told.left_out == 3);
+  CHECK(told.skipped_entries == 3);
   REQUIRE(told.list.workers.size() == 1);
-  CHECK(told.list.workers[0].started == 1500 * kMs);
+  CHECK(told.list.workers[0].started_at == 1500 * kMs);
   CHECK(told.list.workers[0].cell == "3");
-  CHECK_THROWS_AS(platform::read_list("{\"rev\":1}"), std::invalid_argument);
-  CHECK_THROWS_AS(platform::read_list("[]"), std::invalid_argument);
+  CHECK_THROWS_AS(platform::parse_discovery_list("{\"rev\":1}"), std::invalid_argument);
+  CHECK_THROWS_AS(platform::parse_discovery_list("[]"), std::invalid_argument);
 }
 
 // The ordinary path.
 
 TEST_CASE("read, written, streamed: the worker's events as they came, the request unchanged, nothing left") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   s.send("up", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-  CHECK(s.answer("up").status == 200);
-  s.send("a", Site::call("a1"));
-  const Got& got = s.answer("a");
+  CHECK(s.response("up").status == 200);
+  s.send("a", PlatformFixture::request("a1"));
+  const ReceivedResponse& got = s.response("a");
   CHECK(got.status == 200);
-  CHECK(got.whole);
+  CHECK(got.complete);
   CHECK(got.body == whole_stream(3));
-  CHECK(s.worker("reader-0").seen == std::vector<std::string>{"POST /v1/chat/completions?trace=1 a1"});
-  CHECK(s.worker("writer-0").seen == std::vector<std::string>{"POST /v1/chat/completions?trace=1 a1"});
-  CHECK(s.worker("reader-0").texts[0] == Site::prompt());
-  CHECK(s.worker("writer-0").texts[0] == Site::prompt());
-  CHECK(s.states.empty());
-  CHECK(s.node->host().live() == 0);
-  CHECK(s.node->codec().open() == 0);
+  CHECK(s.worker("reader-0").request_log == std::vector<std::string>{"POST /v1/chat/completions?trace=1 a1"});
+  CHECK(s.worker("writer-0").request_log == std::vector<std::string>{"POST /v1/chat/completions?trace=1 a1"});
+  CHECK(s.worker("reader-0").request_bodies[0] == PlatformFixture::request_body());
+  CHECK(s.worker("writer-0").request_bodies[0] == PlatformFixture::request_body());
+  CHECK(s.kv_entries.empty());
+  CHECK(s.node->host().live_requests() == 0);
+  CHECK(s.node->codec().open_calls() == 0);
 }
 
 // Guards rule 2: workers know the repeat of a keyed request by a field that the client sent.
 TEST_CASE("a request's own fields reach reader and writer, those of its connection do not") {
-  Site s(1, 1);
-  std::string text = Site::call("a1");
+  PlatformFixture s(1, 1);
+  std::string text = PlatformFixture::request("a1");
   text.insert(text.find("Host:"),
               "Idempotency-Key: 7c1e\r\nConnection: Close, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\n"
               "Keep-Alive: 5\r\nX-Later: kept as it is\r\n");
   s.send("a", text);
-  CHECK(s.answer("a").whole);
+  CHECK(s.response("a").complete);
   for (const char* name : {"reader-0", "writer-0"}) {
-    REQUIRE(s.worker(name).heads.size() == 1);
-    const std::string& fields = s.worker(name).heads[0];
+    REQUIRE(s.worker(name).request_fields.size() == 1);
+    const std::string& fields = s.worker(name).request_fields[0];
     CAPTURE(fields);
     CHECK(fields.find("idempotency-key: 7c1e\n") != std::string::npos);
     CHECK(fields.find("x-later: kept as it is\n") != std::string::npos);
@@ -123,14 +123,14 @@
 }
 
 TEST_CASE("loads are read from heads and from comments; one that cannot be read is none") {
-  Site s(0, 0);
+  PlatformFixture s(0, 0);
   const auto& codec = s.node->codec();
-  CHECK(codec.load(" X-Load-Report: concurrent=7,x0=0.61").sequences == 7);
-  CHECK(codec.load("x-load-report: concurrent=7,x0=0.61").memory_share == doctest::Approx(0.61));
+  CHECK(codec.parse_load_report(" X-Load-Report: concurrent=7,x0=0.61").requests == 7);
+  CHECK(codec.parse_load_report("x-load-report: concurrent=7,x0=0.61").memory_share == doctest::Approx(0.61));
   for (const char* odd :
        {" X-Load-Report: concurrent=seven", " X-Load-Report: concurrent", " X-Load-Report: x0=-1",
         " X-Load-Report: x0=nan", " X-Other: x0=1", "", " X-Load-Report:"})
-    CHECK_FALSE(codec.load(odd).heard);
+    CHECK_FALSE(codec.parse_load_report(odd).received);
 }
 
 // What comes back from a worker.
@@ -139,12 +139,12 @@
   struct Case {
     const char* what;
     bool at_reader;
-    Act act;
+    ScriptedResponse act;
   };
   const auto answer = [](int status, const char* fields) {
-    return http::response_text(status, fields, "", true);
+    return http::format_response(status, fields, "", true);
   };
-  using Then = Act::Then;
+  using Then = ScriptedResponse::Finish;
   const Case cases[] = {
       {"a reader errs", true, {answer(500, "")}},
       {"a reader is full", true, {answer(503, "X-Rejected: 1\r\n")}},
@@ -152,52 +152,52 @@
       {"a reader breaks", true, {"", Then::reset}},
       {"a reader ends", true, {"", Then::close}},
       {"a reader ends in its head", true, {"HTTP/1.1 202 Acc", Then::close}},
-      {"a reader answers nonsense", true, {"\x01\x02 nonsense\r\n\r\n", Then::hold}},
-      {"a reader is silent", true, {"", Then::hold}},
+      {"a reader answers nonsense", true, {"\x01\x02 nonsense\r\n\r\n", Then::hang}},
+      {"a reader is silent", true, {"", Then::hang}},
       {"a writer errs", false, {answer(500, "")}},
       {"a writer is full", false, {answer(503, "X-Rejected: 1\r\n")}},
       {"a writer has no state", false, {answer(410, "X-Rejected: 1\r\n")}},
       {"a writer breaks", false, {"", Then::reset}},
-      {"a writer is silent", false, {"", Then::hold}},
-      {"noise in place of a stream", false, {std::string(300, '\x07'), Then::hold}},
-      {"a head that cannot be read", false, {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", Then::hold}},
-      {"a head that does not end", false, {"HTTP/1.1 200 OK\r\nx: " + std::string(200'000, 'y'), Then::hold}},
-      {"a first chunk that cannot be read", false, {Worker::stream_head() + "zz\r\n", Then::hold}},
+      {"a writer is silent", false, {"", Then::hang}},
+      {"noise in place of a stream", false, {std::string(300, '\x07'), Then::hang}},
+      {"a head that cannot be read", false, {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", Then::hang}},
+      {"a head that does not end", false, {"HTTP/1.1 200 OK\r\nx: " + std::string(200'000, 'y'), Then::hang}},
+      {"a first chunk that cannot be read", false, {FakeWorker::stream_head() + "zz\r\n", Then::hang}},
       {"a first event that is no event",
        false,
-       {Worker::stream_head() + Worker::framed("data: {\"choices\":\n\n"), Then::hold}},
-      {"a stream that ends before its first event", false, {Worker::stream_head() + "0\r\n\r\n"}},
+       {FakeWorker::stream_head() + FakeWorker::chunked("data: {\"choices\":\n\n"), Then::hang}},
+      {"a stream that ends before its first event", false, {FakeWorker::stream_head() + "0\r\n\r\n"}},
   };
   for (const Case& c : cases) {
     CAPTURE(std::string(c.what));
-    Site s(2, 2);
+    PlatformFixture s(2, 2);
     for (auto& w : s.workers)
-      if (w->reads == c.at_reader) w->acts = {c.act};
-    s.send("a", Site::call("a1"));
+      if (w->is_prefill == c.at_reader) w->script = {c.act};
+    s.send("a", PlatformFixture::request("a1"));
     // Whichever was chosen does it, and no other.
-    const auto waits = [&](const auto& w) { return w->reads == c.at_reader && !w->acts.empty(); };
+    const auto waits = [&](const auto& w) { return w->is_prefill == c.at_reader && !w->script.empty(); };
     s.loop.run_until([&] { return std::ranges::count_if(s.workers, waits) == 1; });
-    for (auto& w : s.workers) w->acts.clear();
-    const Got& got = s.answer("a");
+    for (auto& w : s.workers) w->script.clear();
+    const ReceivedResponse& got = s.response("a");
     CHECK(got.status == 200);
     CHECK(got.body == whole_stream(3));
-    s.pass(3000);
-    CHECK(s.states.empty());
-    CHECK(s.node->host().live() == 0);
-    for (auto& w : s.workers) CHECK(w->open == 0);
+    s.run_for(3000);
+    CHECK(s.kv_entries.empty());
+    CHECK(s.node->host().live_requests() == 0);
+    for (auto& w : s.workers) CHECK(w->open_requests == 0);
   }
 }
 
 TEST_CASE(
     "a stream that is spoilt later ends the client's connection, without the last chunk or a word of ours") {
-  const std::pair<const char*, Act> cases[] = {
+  const std::pair<const char*, ScriptedResponse> cases[] = {
       {"a chunk size that cannot be read", spoilt("zz\r\nmore")},
       {"a chunk that does not fit", spoilt("5\r\nmore than five\r\n")},
       {"a chunk of 3 GB", spoilt("C0000000\r\n" + std::string(300'000, 'x'))},
-      {"broken", {begun(), Act::Then::reset}},
-      {"ended", {begun(), Act::Then::close}},
-      {"silent", {begun(), Act::Then::hold}},
-      {"half a line late, then silent", spoilt(Worker::framed("data: {\"choi"), 1500 * kMs)},
+      {"broken", {begun(), ScriptedResponse::Finish::reset}},
+      {"ended", {begun(), ScriptedResponse::Finish::close}},
+      {"silent", {begun(), ScriptedResponse::Finish::hang}},
+      {"half a line late, then silent", spoilt(FakeWorker::chunked("data: {\"choi"), 1500 * kMs)},
       {"half a chunk late, then silent", spoilt("400\r\ndata: {\"choices\":", 1500 * kMs)},
   };
   // Whether a time-out of its own or, as the last attempt has none, only the client's time bounds the attempt.
@@ -205,156 +205,156 @@
     for (const auto& [what, act] : cases) {
       CAPTURE(std::string(what));
       CAPTURE(attempts);
-      json settings = small_settings();
+      json settings = test_settings();
       settings["caps"]["attemptsCap"] = attempts;
-      Site s(1, 1, settings);
-      s.worker("writer-0").acts = {act};
-      s.send("a", Site::call("a1", Site::prompt(), "60000"));
-      const Got& got = s.answer("a");
+      PlatformFixture s(1, 1, settings);
+      s.worker("writer-0").script = {act};
+      s.send("a", PlatformFixture::request("a1", PlatformFixture::request_body(), "60000"));
+      const ReceivedResponse& got = s.response("a");
       CHECK(got.status == 200);
-      CHECK_FALSE(got.whole);
-      CHECK(got.body.starts_with(Worker::event(0)));
+      CHECK_FALSE(got.complete);
+      CHECK(got.body.starts_with(FakeWorker::event(0)));
       CHECK(got.body.find("error") == std::string::npos);
-      CHECK(got.took < 5000 * kMs);
-      CHECK(s.lines("POST") == 2);
-      s.pass(100);
-      CHECK(s.node->host().live() == 0);
+      CHECK(got.elapsed < 5000 * kMs);
+      CHECK(s.count_requests("POST") == 2);
+      s.run_for(100);
+      CHECK(s.node->host().live_requests() == 0);
     }
 }
 
 TEST_CASE("good answers with more than belongs to them: 1xx ahead, a second answer behind") {
-  Site s(1, 1);
-  const std::string stream = Worker::stream_head() + Worker::framed(whole_stream(2)) + "0\r\n\r\n";
-  s.worker("writer-0").acts = {
+  PlatformFixture s(1, 1);
+  const std::string stream = FakeWorker::stream_head() + FakeWorker::chunked(whole_stream(2)) + "0\r\n\r\n";
+  s.worker("writer-0").script = {
       {"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + stream},
-      {stream + "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno", Act::Then::hold},
+      {stream + "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno", ScriptedResponse::Finish::hang},
   };
   for (const char* id : {"a", "b", "c"}) {
-    s.send(id, Site::call(id));
-    const Got& got = s.answer(id);
-    CHECK(got.whole);
+    s.send(id, PlatformFixture::request(id));
+    const ReceivedResponse& got = s.response(id);
+    CHECK(got.complete);
     CHECK(got.body == whole_stream(id[0] == 'c' ? 3 : 2));
-    CHECK(got.last < s.loop.now());
+    CHECK(got.last_byte_at < s.loop.now());
   }
-  CHECK(s.worker("writer-0").connections == 2);  // the one with more on it was not used again
+  CHECK(s.worker("writer-0").accepted_connections == 2);  // the one with more on it was not used again
 }
 
 TEST_CASE("a kept connection that its worker has closed is made anew and counts as no attempt") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   for (int i = 0; i < 3; ++i) {
-    s.worker("writer-0").acts = {{"", Act::Then::keep, 0, true}};
+    s.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 0, true}};
     const std::string id = "a" + std::to_string(i);
-    s.send(id, Site::call(id));
-    CHECK(s.answer(id).whole);
-    s.pass(5000);  // past half of what the settings allow a connection to stand idle
+    s.send(id, PlatformFixture::request(id));
+    CHECK(s.response(id).complete);
+    s.run_for(5000);  // past half of what the settings allow a connection to stand idle
   }
-  CHECK(s.worker("writer-0").connections == 3);
-  CHECK(s.lines("POST") == 6);
+  CHECK(s.worker("writer-0").accepted_connections == 3);
+  CHECK(s.count_requests("POST") == 6);
 }
 
 // Letting go.
 
 TEST_CASE("a state that no writer takes is let go of within the limit; the refusal comes at once") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   for (int i = 0; i < 40; ++i)
-    s.worker("writer-0").acts.push_back({http::response_text(503, "X-Rejected: 1\r\n", "", true)});
-  s.send("a", Site::call("a1"));
-  const Got& got = s.answer("a");
+    s.worker("writer-0").script.push_back({http::format_response(503, "X-Rejected: 1\r\n", "", true)});
+  s.send("a", PlatformFixture::request("a1"));
+  const ReceivedResponse& got = s.response("a");
   CHECK(got.status == 503);
-  CHECK(got.took < 1000 * kMs);
+  CHECK(got.elapsed < 1000 * kMs);
   CHECK(got.fields.find("retry-after: 0.") != std::string::npos);
-  s.pass(200);
-  CHECK(s.states.empty());
-  CHECK(s.lines("DELETE a1") >= 1);
+  s.run_for(200);
+  CHECK(s.kv_entries.empty());
+  CHECK(s.count_requests("DELETE a1") >= 1);
 }
 
 TEST_CASE("where the settings allow no time to come back, none is named") {
-  json settings = small_settings();
+  json settings = test_settings();
   settings["caps"]["retryAfter"] = false;
-  Site s(0, 0, settings);
-  s.send("a", Site::call("a1"));
-  CHECK(s.answer("a").status == 503);
-  CHECK(s.answer("a").fields.find("retry-after") == std::string::npos);
+  PlatformFixture s(0, 0, settings);
+  s.send("a", PlatformFixture::request("a1"));
+  CHECK(s.response("a").status == 503);
+  CHECK(s.response("a").fields.find("retry-after") == std::string::npos);
 }
 
 TEST_CASE("a reader that cannot be reached: another worker is told to let go") {
-  Site s(1, 1);
-  s.worker("writer-0").acts = always_full();
-  s.send("a", Site::call("a1"));
-  s.loop.run_until([&] { return !s.states.empty(); });
-  s.pass(5);
-  s.worker("reader-0").die();
-  CHECK(s.answer("a").status == 503);
-  s.pass(1000);
-  CHECK(s.worker("writer-0").seen.back() == "DELETE a1");
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").script = always_reject();
+  s.send("a", PlatformFixture::request("a1"));
+  s.loop.run_until([&] { return !s.kv_entries.empty(); });
+  s.run_for(5);
+  s.worker("reader-0").crash();
+  CHECK(s.response("a").status == 503);
+  s.run_for(1000);
+  CHECK(s.worker("writer-0").request_log.back() == "DELETE a1");
 }
 
 // Guards rule 5 where most workers are silent: told one after the other, the one that hears would be told too late.
 TEST_CASE("a state is let go of in time though all readers have fallen silent") {
-  Site s(12, 1);
-  s.worker("writer-0").acts = always_full();
-  s.send("a", Site::call("a1"));
-  s.loop.run_until([&] { return !s.states.empty(); });
+  PlatformFixture s(12, 1);
+  s.worker("writer-0").script = always_reject();
+  s.send("a", PlatformFixture::request("a1"));
+  s.loop.run_until([&] { return !s.kv_entries.empty(); });
   const io::Nanos held = s.loop.now();
-  for (auto& w : s.workers) w->silent = w->reads;
-  s.loop.run_until([&] { return s.states.empty() || s.loop.now() - held > 3000 * kMs; });
-  CHECK(s.states.empty());
+  for (auto& w : s.workers) w->unresponsive = w->is_prefill;
+  s.loop.run_until([&] { return s.kv_entries.empty() || s.loop.now() - held > 3000 * kMs; });
+  CHECK(s.kv_entries.empty());
   CHECK(s.loop.now() - held <= 1000 * kMs);
-  CHECK(s.answer("a").status == 503);
+  CHECK(s.response("a").status == 503);
 }
 
 TEST_CASE("a client that leaves: its attempts end, what is held is let go of, nothing more is sent") {
   SUBCASE("during the read") {
-    Site s(1, 1);
-    s.worker("reader-0").acts = {{"", Act::Then::keep, 300 * kMs, true}};
-    s.send("a", Site::call("a1"), 100 * kMs);
-    s.answer("a");
-    s.pass(50);
-    CHECK(s.open_at("reader-0") == 0);
-    s.pass(1500);
-    CHECK(s.lines("POST") == 1);
-    CHECK(s.lines("DELETE a1") >= 1);
-    CHECK(s.node->host().live() == 0);
+    PlatformFixture s(1, 1);
+    s.worker("reader-0").script = {{"", ScriptedResponse::Finish::keep_alive, 300 * kMs, true}};
+    s.send("a", PlatformFixture::request("a1"), 100 * kMs);
+    s.response("a");
+    s.run_for(50);
+    CHECK(s.open_requests("reader-0") == 0);
+    s.run_for(1500);
+    CHECK(s.count_requests("POST") == 1);
+    CHECK(s.count_requests("DELETE a1") >= 1);
+    CHECK(s.node->host().live_requests() == 0);
   }
   SUBCASE("during the stream, with bytes of a next request on the connection") {
-    Site s(1, 1);
-    s.worker("writer-0").events = 500;
-    s.send("a", Site::call("a1") + "POST /v1", 300 * kMs);
-    s.answer("a");
-    s.pass(200);
-    CHECK(s.open_at("writer-0") == 0);
-    CHECK(s.node->host().live() == 0);
+    PlatformFixture s(1, 1);
+    s.worker("writer-0").stream_events = 500;
+    s.send("a", PlatformFixture::request("a1") + "POST /v1", 300 * kMs);
+    s.response("a");
+    s.run_for(200);
+    CHECK(s.open_requests("writer-0") == 0);
+    CHECK(s.node->host().live_requests() == 0);
   }
 }
 
 TEST_CASE("a read whose answer was lost on its way may have left a state: it is let go of within the limit") {
-  Site s(1, 1);
-  s.worker("reader-0").acts = {{"", Act::Then::reset, 10 * kMs, false, true}};
-  s.send("a", Site::call("a1"));
-  s.loop.run_until([&] { return !s.states.empty(); });
-  s.pass(900);
-  CHECK(s.states.empty());
-  CHECK(s.lines("DELETE a1") >= 1);
+  PlatformFixture s(1, 1);
+  s.worker("reader-0").script = {{"", ScriptedResponse::Finish::reset, 10 * kMs, false, true}};
+  s.send("a", PlatformFixture::request("a1"));
+  s.loop.run_until([&] { return !s.kv_entries.empty(); });
+  s.run_for(900);
+  CHECK(s.kv_entries.empty());
+  CHECK(s.count_requests("DELETE a1") >= 1);
 }
 
 TEST_CASE("what is believed of load is what is out on the sockets, whatever fails") {
-  Site s(2, 2);
-  s.worker("reader-0").acts = {{"", Act::Then::keep, 200 * kMs, true},
-                               {http::response_text(500, "", "", true)},
-                               {"", Act::Then::reset},
-                               {"", Act::Then::hold}};
-  s.worker("writer-0").acts = {{http::response_text(503, "X-Rejected: 1\r\n", "", true)},
-                               {"", Act::Then::keep, 300 * kMs, true},
-                               {Worker::stream_head() + "zz\r\n", Act::Then::hold}};
+  PlatformFixture s(2, 2);
+  s.worker("reader-0").script = {{"", ScriptedResponse::Finish::keep_alive, 200 * kMs, true},
+                                 {http::format_response(500, "", "", true)},
+                                 {"", ScriptedResponse::Finish::reset},
+                                 {"", ScriptedResponse::Finish::hang}};
+  s.worker("writer-0").script = {{http::format_response(503, "X-Rejected: 1\r\n", "", true)},
+                                 {"", ScriptedResponse::Finish::keep_alive, 300 * kMs, true},
+                                 {FakeWorker::stream_head() + "zz\r\n", ScriptedResponse::Finish::hang}};
   for (int i = 0; i < 30; ++i) {
-    s.send("a" + std::to_string(i), Site::call("a" + std::to_string(i)));
-    s.pass(13);
-    s.agree();
+    s.send("a" + std::to_string(i), PlatformFixture::request("a" + std::to_string(i)));
+    s.run_for(13);
+    s.check_load_counts();
   }
-  for (int i = 0; i < 30; ++i) CHECK(s.answer("a" + std::to_string(i)).status == 200);
-  s.pass(2000);
-  s.agree();
-  for (const auto& load : s.node->host().loads()) CHECK(load.out == 0);
+  for (int i = 0; i < 30; ++i) CHECK(s.response("a" + std::to_string(i)).status == 200);
+  s.run_for(2000);
+  s.check_load_counts();
+  for (const auto& load : s.node->host().worker_loads()) CHECK(load.in_flight == 0);
 }
 
 // What bad clients send.
@@ -363,21 +363,22 @@
 TEST_CASE("a request that a worker finds fault with: one attempt, a 4xx and a close; the worker is sound") {
   for (const int status : {400, 404}) {
     CAPTURE(status);
-    Site s(1, 1);
-    s.worker("reader-0").acts = std::deque<Act>(20, {http::response_text(status, "", "", true)});
+    PlatformFixture s(1, 1);
+    s.worker("reader-0").script =
+        std::deque<ScriptedResponse>(20, {http::format_response(status, "", "", true)});
     std::string many;
-    for (int i = 0; i < 50; ++i) many += Site::call("m" + std::to_string(i));
+    for (int i = 0; i < 50; ++i) many += PlatformFixture::request("m" + std::to_string(i));
     s.send("many", many, 0, 50);
-    s.answer("many");
-    CHECK(s.all["many"][0].status == 400);
-    CHECK(s.all["many"][1].status == 0);
-    CHECK(s.lines("POST") == 1);
-    s.send("a", Site::call("a1"));
-    CHECK(s.answer("a").status == 400);
-    s.worker("reader-0").acts.clear();
-    s.send("b", Site::call("b1"));
-    CHECK(s.answer("b").whole);
-    CHECK(s.answer("b").took < 200 * kMs);
+    s.response("many");
+    CHECK(s.responses["many"][0].status == 400);
+    CHECK(s.responses["many"][1].status == 0);
+    CHECK(s.count_requests("POST") == 1);
+    s.send("a", PlatformFixture::request("a1"));
+    CHECK(s.response("a").status == 400);
+    s.worker("reader-0").script.clear();
+    s.send("b", PlatformFixture::request("b1"));
+    CHECK(s.response("b").complete);
+    CHECK(s.response("b").elapsed < 200 * kMs);
   }
 }
 
@@ -391,20 +392,20 @@
   const auto change = [&](std::size_t i, const char* value) {
     F f = good;
     f[i].second = value;
-    return Site::with(f);
+    return PlatformFixture::request_with(f);
   };
   const auto without = [&](std::size_t i) {
     F f = good;
     f.erase(f.begin() + static_cast<std::ptrdiff_t>(i));
-    return Site::with(f);
+    return PlatformFixture::request_with(f);
   };
   F twice = good;
   twice.emplace_back("x-call-id", "z2");
   const std::string get = "GET /v1/chat/completions HTTP/1.1\r\nHost: h\r\n\r\n";
-  const std::string hidden = Site::call("hidden");
+  const std::string hidden = PlatformFixture::request("hidden");
   const std::pair<const char*, std::string> cases[] = {
       {"no id", without(0)},
-      {"two ids", Site::with(twice)},
+      {"two ids", PlatformFixture::request_with(twice)},
       {"an id that is a path", change(0, "../x")},
       {"a long id", change(0, std::string(300, 'a').c_str())},
       {"no class", without(1)},
@@ -419,9 +420,9 @@
       {"a length that is no number", change(4, "prompt_len=many")},
       {"a length that is negative", change(4, "prompt_len=-1")},
       {"lengths without sense", change(4, "prompt_len")},
-      {"a body that is no JSON", Site::with(good, "{\"model\":")},
-      {"a body with more behind", Site::with(good, "{} {}")},
-      {"a body that is no object", Site::with(good, "[1]")},
+      {"a body that is no JSON", PlatformFixture::request_with(good, "{\"model\":")},
+      {"a body with more behind", PlatformFixture::request_with(good, "{} {}")},
+      {"a body that is no object", PlatformFixture::request_with(good, "[1]")},
       {"another method", get},
       {"another path", "POST /other HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"},
       {"not HTTP", std::string("\x16\x03\x01 hello\r\n\r\n")},
@@ -439,113 +440,115 @@
        "Content-Length: 5\r\n\r\n0\r\n\r\n" +
            hidden},
   };
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   for (const auto& [what, text] : cases) {
     CAPTURE(std::string(what));
     s.send(what, text);
-    const Got& got = s.answer(what);
+    const ReceivedResponse& got = s.response(what);
     CHECK(got.status >= 400);
     CHECK(got.status < 500);
-    CHECK(got.closed);
-    CHECK(got.took < 3000 * kMs);
+    CHECK(got.connection_closed);
+    CHECK(got.elapsed < 3000 * kMs);
   }
-  CHECK(s.lines("") == 0);
-  CHECK(s.node->host().live() == 0);
-  s.send("after", Site::call("a1"));
-  CHECK(s.answer("after").whole);
+  CHECK(s.count_requests("") == 0);
+  CHECK(s.node->host().live_requests() == 0);
+  s.send("after", PlatformFixture::request("a1"));
+  CHECK(s.response("after").complete);
 }
 
 TEST_CASE("the id of a request that is open here: refused, and that request is not touched") {
-  Site s(1, 1);
-  s.worker("writer-0").events = 20;
-  s.send("a", Site::call("same"));
-  s.pass(60);
-  s.send("b", Site::call("same"));
-  CHECK(s.answer("b").status == 409);
-  CHECK(s.answer("a").whole);
-  CHECK(s.answer("a").body == whole_stream(20));
-  s.send("c", Site::call("same"));  // no longer open
-  CHECK(s.answer("c").whole);
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").stream_events = 20;
+  s.send("a", PlatformFixture::request("same"));
+  s.run_for(60);
+  s.send("b", PlatformFixture::request("same"));
+  CHECK(s.response("b").status == 409);
+  CHECK(s.response("a").complete);
+  CHECK(s.response("a").body == whole_stream(20));
+  s.send("c", PlatformFixture::request("same"));  // no longer open
+  CHECK(s.response("c").complete);
 }
 
 TEST_CASE("a client that says nothing, or half of something, is let go of in under three seconds") {
   const std::pair<const char*, std::string> cases[] = {
       {"nothing", ""},
       {"half a head", "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1"},
-      {"half a body", Site::call("half").substr(0, 500)},
+      {"half a body", PlatformFixture::request("half").substr(0, 500)},
   };
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   for (const auto& [what, text] : cases) {
     CAPTURE(std::string(what));
     s.send(what, text);
-    CHECK(s.answer(what).closed);
-    CHECK(s.answer(what).took < 3000 * kMs);
-    CHECK(s.answer(what).took > 2000 * kMs);
+    CHECK(s.response(what).connection_closed);
+    CHECK(s.response(what).elapsed < 3000 * kMs);
+    CHECK(s.response(what).elapsed > 2000 * kMs);
   }
-  CHECK(s.lines("") == 0);
+  CHECK(s.count_requests("") == 0);
 }
 
 TEST_CASE("a hundred requests at once on one connection are answered one after the other, in their order") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   std::string text;
-  for (int i = 0; i < 100; ++i) text += Site::call("p" + std::to_string(i), Site::prompt(), "60000");
+  for (int i = 0; i < 100; ++i)
+    text += PlatformFixture::request("p" + std::to_string(i), PlatformFixture::request_body(), "60000");
   s.send("a", text, 0, 100);
-  s.answer("a");
-  CAPTURE(s.all["a"].back().status);
-  CAPTURE(s.all["a"].back().body);
-  CAPTURE(s.all["a"].back().took / kMs);
-  REQUIRE(s.all["a"].size() == 100);
-  for (const Got& got : s.all["a"]) CHECK(got.body == whole_stream(3));
-  CHECK(s.worker("writer-0").seen[57] == "POST /v1/chat/completions?trace=1 p57");
+  s.response("a");
+  CAPTURE(s.responses["a"].back().status);
+  CAPTURE(s.responses["a"].back().body);
+  CAPTURE(s.responses["a"].back().elapsed / kMs);
+  REQUIRE(s.responses["a"].size() == 100);
+  for (const ReceivedResponse& got : s.responses["a"]) CHECK(got.body == whole_stream(3));
+  CHECK(s.worker("writer-0").request_log[57] == "POST /v1/chat/completions?trace=1 p57");
 }
 
 TEST_CASE(
     "connections by hundreds that say nothing: those quiet longest make way, a usual client is served") {
-  Site s(1, 1, small_settings(), 64);
-  s.worker("writer-0").events = 60;
-  s.send("a", Site::call("a1"));
-  s.pass(100);
+  PlatformFixture s(1, 1, test_settings(), 64);
+  s.worker("writer-0").stream_events = 60;
+  s.send("a", PlatformFixture::request("a1"));
+  s.run_for(100);
   for (int i = 0; i < 300; ++i) s.send("flood" + std::to_string(i), "");
-  s.pass(50);
-  s.send("b", Site::call("b1"));
-  CHECK(s.answer("a").body == whole_stream(60));
-  CHECK(s.answer("b").body == whole_stream(60));
-  for (int i = 0; i < 300; ++i) CHECK(s.answer("flood" + std::to_string(i)).closed);
+  s.run_for(50);
+  s.send("b", PlatformFixture::request("b1"));
+  CHECK(s.response("a").body == whole_stream(60));
+  CHECK(s.response("b").body == whole_stream(60));
+  for (int i = 0; i < 300; ++i) CHECK(s.response("flood" + std::to_string(i)).connection_closed);
 }
 
 TEST_CASE("at the bound a connection that has become idle makes way, whoever waits") {
-  Site s(1, 1, small_settings(), 64);  // 28 for clients
-  s.worker("writer-0").events = 40;
-  for (int i = 0; i < 28; ++i) s.send("a" + std::to_string(i), Site::call("a" + std::to_string(i)));
-  s.pass(200);
-  s.send("late", Site::call("late"));
-  for (int i = 0; i < 28; ++i) CHECK(s.answer("a" + std::to_string(i)).status != 0);
-  CHECK(s.answer("late").status != 0);  // served, or refused for want of room at the workers
-  CHECK(s.answer("late").took < 4000 * kMs);
+  PlatformFixture s(1, 1, test_settings(), 64);  // 28 for clients
+  s.worker("writer-0").stream_events = 40;
+  for (int i = 0; i < 28; ++i)
+    s.send("a" + std::to_string(i), PlatformFixture::request("a" + std::to_string(i)));
+  s.run_for(200);
+  s.send("late", PlatformFixture::request("late"));
+  for (int i = 0; i < 28; ++i) CHECK(s.response("a" + std::to_string(i)).status != 0);
+  CHECK(s.response("late").status != 0);  // served, or refused for want of room at the workers
+  CHECK(s.response("late").elapsed < 4000 * kMs);
 }
 
 TEST_CASE("an answer that ends its connection survives what the client still sends") {
-  Site s(1, 1);
-  std::string text = Site::with({{"X-Call-Class", "chat"}});
+  PlatformFixture s(1, 1);
+  std::string text = PlatformFixture::request_with({{"X-Call-Class", "chat"}});
   s.send("a", text + std::string(500'000, 'z'));
-  CHECK(s.answer("a").status == 400);
-  CHECK(s.answer("a").whole);
+  CHECK(s.response("a").status == 400);
+  CHECK(s.response("a").complete);
 }
 
 // Discovery, new configurations, restarts.
 
 TEST_CASE("changes come by a watch right after each answer; a drain is kept") {
-  Site s(1, 2);
-  CHECK(s.agent.calls[0] == "/discovery/hosts");
-  CHECK(s.agent.calls[1].starts_with("/discovery/hosts?index="));
-  s.agent.put(Site::target(s.worker("writer-0"), "draining"));
-  s.pass(20);
+  PlatformFixture s(1, 2);
+  CHECK(s.discovery.calls[0] == "/discovery/hosts");
+  CHECK(s.discovery.calls[1].starts_with("/discovery/hosts?index="));
+  s.discovery.update(PlatformFixture::target(s.worker("writer-0"), "draining"));
+  s.run_for(20);
   for (int i = 0; i < 5; ++i) {
     const std::string id = "a" + std::to_string(i);
-    s.send(id, Site::call(id));
-    CHECK(s.answer(id).whole);
+    s.send(id, PlatformFixture::request(id));
+    CHECK(s.response(id).complete);
   }
-  CHECK(s.worker("writer-0").seen.empty());
+  CHECK(s.worker("writer-0").request_log.empty());
 }
 
 // Guards rule 3 from any state of the watch. Discovery has the drain at the moment that 'reachable' notes; a platform
@@ -553,51 +556,60 @@
 TEST_CASE("a drain is acted on within its time, whatever the watch or the call before it came to") {
   struct Case {
     const char* what;
-    std::function<void(Site&)> before;  // leaves discovery reachable, with the drain still to come
+    std::function<void(PlatformFixture&)> before;  // leaves discovery reachable, with the drain still to come
+  };
+  const auto drain = [](PlatformFixture& s) {
+    s.discovery.update(PlatformFixture::target(s.worker("writer-0"), "draining"));
   };
-  const auto drain = [](Site& s) { s.agent.put(Site::target(s.worker("writer-0"), "draining")); };
   const Case cases[] = {
-      {"usual", [](Site&) {}},
-      {"the watch falls silent as it opens", [](Site& s) { s.pass(3000), s.agent.forget_calls(); }},
-      {"the watch falls silent just before its end", [](Site& s) { s.pass(2900), s.agent.forget_calls(); }},
+      {"usual", [](PlatformFixture&) {}},
+      {"the watch falls silent as it opens",
+       [](PlatformFixture& s) { s.run_for(3000), s.discovery.abandon_open_calls(); }},
+      {"the watch falls silent just before its end",
+       [](PlatformFixture& s) { s.run_for(2900), s.discovery.abandon_open_calls(); }},
       {"and so does each call after it, for 5 s",
-       [](Site& s) {
-         s.agent.silent = true, s.agent.forget_calls();
-         s.pass(5000);
-         s.agent.silent = false, s.agent.forget_calls();
+       [](PlatformFixture& s) {
+         s.discovery.unresponsive = true, s.discovery.abandon_open_calls();
+         s.run_for(5000);
+         s.discovery.unresponsive = false, s.discovery.abandon_open_calls();
        }},
-      {"the watch is reset", [](Site& s) { s.agent.close(), s.agent.open(); }},
-      {"reset, and calls refused for 7 s", [](Site& s) { s.agent.close(), s.pass(7000), s.agent.open(); }},
-      {"answers take 1.2 s", [](Site& s) { s.agent.slow = 1200 * kMs, s.pass(5000); }},
+      {"the watch is reset", [](PlatformFixture& s) { s.discovery.close(), s.discovery.open(); }},
+      {"reset, and calls refused for 7 s",
+       [](PlatformFixture& s) { s.discovery.close(), s.run_for(7000), s.discovery.open(); }},
+      {"answers take 1.2 s",
+       [](PlatformFixture& s) { s.discovery.response_delay = 1200 * kMs, s.run_for(5000); }},
       {"lists are indented, and always whole",
-       [](Site& s) { s.agent.indented = s.agent.always_whole = true, s.pass(4000); }},
+       [](PlatformFixture& s) {
+         s.discovery.pretty_print = s.discovery.always_full_list = true, s.run_for(4000);
+       }},
   };
   for (const Case& c : cases) {
     CAPTURE(std::string(c.what));
-    Site s(1, 2);
+    PlatformFixture s(1, 2);
     c.before(s);
     const io::Nanos reachable = s.loop.now();
     drain(s);
-    s.loop.run_until([&] { return !s.listed_ready("writer-0"); });
+    s.loop.run_until([&] { return !s.is_listed_ready("writer-0"); });
     CHECK(s.loop.now() - reachable <= 5000 * kMs);
-    s.agent.slow = 0;
-    s.send("a", Site::call("a1"));
-    CHECK(s.answer("a").whole);
-    CHECK(s.worker("writer-0").seen.empty());
+    s.discovery.response_delay = 0;
+    s.send("a", PlatformFixture::request("a1"));
+    CHECK(s.response("a").complete);
+    CHECK(s.worker("writer-0").request_log.empty());
   }
 }
 
 TEST_CASE("a drain that only the new configuration's agent tells of is acted on within 4 s") {
   for (const int refused_ms : {0, 1000, 3000}) {
     CAPTURE(refused_ms);
-    Site s(1, 2);
-    Agent next(s.loop);
-    for (auto& w : s.workers) next.put(Site::target(*w, w->name == "writer-0" ? "draining" : "up"));
+    PlatformFixture s(1, 2);
+    FakeDiscovery next(s.loop);
+    for (auto& w : s.workers)
+      next.update(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
     if (refused_ms > 0) next.close();
     const io::Nanos told = s.loop.now();
-    s.node->move_discovery(next.address());
-    if (refused_ms > 0) s.pass(refused_ms), next.open();
-    s.loop.run_until([&] { return !s.listed_ready("writer-0"); });
+    s.node->set_discovery_agent(next.address());
+    if (refused_ms > 0) s.run_for(refused_ms), next.open();
+    s.loop.run_until([&] { return !s.is_listed_ready("writer-0"); });
     CHECK(s.loop.now() - told <= (refused_ms + 800) * kMs);
     s.scope.cancel();
     s.node.reset();
@@ -606,65 +618,65 @@
 
 // Lists are paid for by their lines, over the whole fleet.
 TEST_CASE("whole lists are asked for at start only; a watch that fails asks for what is new") {
-  Site s(1, 1);
-  s.pass(60'000);
-  CHECK(s.agent.calls.size() <= 22);
-  s.agent.forget_calls();
-  s.pass(10'000);
-  s.agent.close();
-  s.pass(3000);
-  s.agent.open();
-  s.pass(10'000);
-  CHECK(s.agent.whole_lists() == 1);
-  CHECK(s.agent.calls.size() <= 40);
+  PlatformFixture s(1, 1);
+  s.run_for(60'000);
+  CHECK(s.discovery.calls.size() <= 22);
+  s.discovery.abandon_open_calls();
+  s.run_for(10'000);
+  s.discovery.close();
+  s.run_for(3000);
+  s.discovery.open();
+  s.run_for(10'000);
+  CHECK(s.discovery.full_list_calls() == 1);
+  CHECK(s.discovery.calls.size() <= 40);
 }
 
 TEST_CASE("ready once discovery has told a list or was given two seconds to, and workers are known") {
-  const auto up_after = [](Site& s, io::Nanos most) {
+  const auto up_after = [](PlatformFixture& s, io::Nanos most) {
     const io::Nanos began = s.loop.now();
     for (int i = 0; s.loop.now() - began < most; ++i) {
       const std::string name = "up" + std::to_string(i);
       s.send(name, "GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-      s.loop.run_until([&] { return s.heard.contains(name); });
-      if (s.heard[name].status == 200) break;
-      s.pass(20);
+      s.loop.run_until([&] { return s.last_responses.contains(name); });
+      if (s.last_responses[name].status == 200) break;
+      s.run_for(20);
     }
     return s.loop.now() - began;
   };
-  const auto start = [](Site& s, bool knows) {
+  const auto start = [](PlatformFixture& s, bool knows) {
     s.node.reset();
     if (knows)
-      for (auto& w : s.workers) s.config["known"]["targets"].push_back(Site::target(*w));
-    s.placement = std::make_unique<platform::Placement>(platform::read_placement(s.config.dump()));
-    s.node = std::make_unique<platform::Node>(s.loop, *s.placement, s.log, make_policy);
+      for (auto& w : s.workers) s.config["known"]["targets"].push_back(PlatformFixture::target(*w));
+    s.node_config = std::make_unique<platform::NodeConfig>(platform::read_node_config(s.config.dump()));
+    s.node = std::make_unique<platform::Node>(s.loop, *s.node_config, s.log, make_policy);
   };
   SUBCASE("discovery answers: at once, and the drain that it tells of is kept from the first request on") {
-    Site s(1, 2);
-    s.agent.put(Site::target(s.worker("writer-0"), "draining"));
+    PlatformFixture s(1, 2);
+    s.discovery.update(PlatformFixture::target(s.worker("writer-0"), "draining"));
     start(s, true);
     CHECK(up_after(s, 5000 * kMs) < 200 * kMs);
-    s.send("a", Site::call("a1"));
-    CHECK(s.answer("a").whole);
-    CHECK(s.worker("writer-0").seen.empty());
+    s.send("a", PlatformFixture::request("a1"));
+    CHECK(s.response("a").complete);
+    CHECK(s.worker("writer-0").request_log.empty());
   }
   SUBCASE("discovery is down: by the list in the file") {
-    Site s(1, 1);
-    s.agent.silent = true;
+    PlatformFixture s(1, 1);
+    s.discovery.unresponsive = true;
     start(s, true);
     const io::Nanos took = up_after(s, 30'000 * kMs);
     CHECK(took >= 1900 * kMs);
     CHECK(took < 2500 * kMs);
-    s.send("a", Site::call("a1"));
-    CHECK(s.answer("a").whole);
+    s.send("a", PlatformFixture::request("a1"));
+    CHECK(s.response("a").complete);
   }
   SUBCASE("discovery is slow") {
-    Site s(1, 1);
-    s.agent.slow = 1200 * kMs;
+    PlatformFixture s(1, 1);
+    s.discovery.response_delay = 1200 * kMs;
     start(s, false);
     CHECK(up_after(s, 30'000 * kMs) < 2500 * kMs);
   }
   SUBCASE("nothing is known: not before there are workers, and within the time that a restart may take") {
-    Site s(0, 0);
+    PlatformFixture s(0, 0);
     start(s, false);
     const io::Nanos took = up_after(s, 40'000 * kMs);
     CHECK(took >= 4900 * kMs);
@@ -679,39 +691,41 @@
     for (const bool at_writer : {false, true}) {
       CAPTURE(reset);
       CAPTURE(at_writer);
-      Site s(1, 1);
-      s.worker(at_writer ? "writer-0" : "reader-0").acts = {{"", Act::Then::keep, 900 * kMs, true}};
-      s.scope.spawn([](Site& of, bool hard) -> io::Task<> {
+      PlatformFixture s(1, 1);
+      s.worker(at_writer ? "writer-0" : "reader-0").script = {
+          {"", ScriptedResponse::Finish::keep_alive, 900 * kMs, true}};
+      s.scope.spawn([](PlatformFixture& of, bool hard) -> io::Task<> {
         io::Socket socket;
         co_await io::connect(of.loop, of.node->address(), socket);
-        co_await socket.write_all(Site::call("a1", Site::prompt(), "60000"));
+        co_await socket.write_all(PlatformFixture::request("a1", PlatformFixture::request_body(), "60000"));
         co_await of.loop.sleep_for(60 * kMs);
-        co_await socket.write_all(Site::call("a2") +
+        co_await socket.write_all(PlatformFixture::request("a2") +
                                   "POST /v1");  // nobody reads this while the first is in hand
         co_await of.loop.sleep_for(60 * kMs);
         socket.close(hard);
       }(s, reset));
-      s.pass(250);
-      CHECK(s.node->host().live() == 0);
-      CHECK(s.open_at("reader-0") == 0);
-      CHECK(s.open_at("writer-0") == 0);
+      s.run_for(250);
+      CHECK(s.node->host().live_requests() == 0);
+      CHECK(s.open_requests("reader-0") == 0);
+      CHECK(s.open_requests("writer-0") == 0);
       CHECK(s.node->connections() == 0);
-      s.pass(5000);
-      CHECK(s.lines("POST") == (at_writer ? 2 : 1));  // no attempt began after
-      if (at_writer) CHECK(s.states.empty());         // the stand-in's read ends, whoever has left
+      s.run_for(5000);
+      CHECK(s.count_requests("POST") == (at_writer ? 2 : 1));  // no attempt began after
+      if (at_writer) CHECK(s.kv_entries.empty());              // the stand-in's read ends, whoever has left
     }
 }
 
 TEST_CASE("a request whose client has gone before it was taken is not sent on") {
-  Site s(1, 1);
-  s.scope.spawn([](Site& of) -> io::Task<> {
+  PlatformFixture s(1, 1);
+  s.scope.spawn([](PlatformFixture& of) -> io::Task<> {
     io::Socket socket;
     co_await io::connect(of.loop, of.node->address(), socket);
-    co_await socket.write_all(Site::call("a1") + Site::call("a2") + Site::call("a3"));
+    co_await socket.write_all(PlatformFixture::request("a1") + PlatformFixture::request("a2") +
+                              PlatformFixture::request("a3"));
     socket.close();
   }(s));
-  s.pass(3000);
-  CHECK(s.lines("POST") == 0);
+  s.run_for(3000);
+  CHECK(s.count_requests("POST") == 0);
   CHECK(s.node->connections() == 0);
 }
 
@@ -721,32 +735,33 @@
     "a request that crosses the end of its connection: an orderly end, no reset, and it is not sent on") {
   for (const bool before : {false, true}) {  // it had come, but was not read yet
     CAPTURE(before);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     std::string first, rest = "none";
     int error = 0;
-    s.scope.spawn([](Site& of, bool ahead, std::string& got, std::string& after, int& why) -> io::Task<> {
-      io::Socket socket;
-      co_await io::connect(of.loop, of.node->address(), socket);
-      co_await socket.write_all(Site::call("a1"));
-      http::Reader reader(socket, http::Kind::response);
-      http::Head head;
-      co_await reader.head(head);
-      co_await reader.rest(got);
-      if (!ahead) of.node->drain();
-      co_await socket.write_all(Site::call("a2"));
-      if (ahead) of.node->drain();
-      std::array<char, 4096> some;
-      const io::Moved moved = co_await socket.read_some(some);
-      after.assign(some.data(), moved.bytes), why = moved.error;
-      co_await of.loop.sleep_for(50 * kMs);
-      if (why == 0) why = (co_await socket.write_all(Site::call("a3"))).error;
-    }(s, before, first, rest, error));
-    s.pass(400);
+    s.scope.spawn(
+        [](PlatformFixture& of, bool ahead, std::string& got, std::string& after, int& why) -> io::Task<> {
+          io::Socket socket;
+          co_await io::connect(of.loop, of.node->address(), socket);
+          co_await socket.write_all(PlatformFixture::request("a1"));
+          http::MessageReader reader(socket, http::MessageKind::response);
+          http::Head head;
+          co_await reader.read_head(head);
+          co_await reader.read_body(got);
+          if (!ahead) of.node->drain();
+          co_await socket.write_all(PlatformFixture::request("a2"));
+          if (ahead) of.node->drain();
+          std::array<char, 4096> some;
+          const io::IoResult moved = co_await socket.read_some(some);
+          after.assign(some.data(), moved.bytes), why = moved.error;
+          co_await of.loop.sleep_for(50 * kMs);
+          if (why == 0) why = (co_await socket.write_all(PlatformFixture::request("a3"))).error;
+        }(s, before, first, rest, error));
+    s.run_for(400);
     CHECK(first == whole_stream(3));
     CHECK(rest.empty());
     CHECK(error == 0);
-    CHECK(s.lines("POST") == 2);
-    s.pass(1500);
+    CHECK(s.count_requests("POST") == 2);
+    s.run_for(1500);
     CHECK(s.node->connections() == 0);
   }
 }
@@ -754,44 +769,44 @@
 TEST_CASE(
     "told to end during an answer: all of it comes, what was read behind it is refused, then an orderly "
     "end") {
-  Site s(1, 1);
-  s.worker("writer-0").events = 30;
-  s.send("a", Site::call("a1") + Site::call("a2"), 0, 2);
-  s.pass(150);
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").stream_events = 30;
+  s.send("a", PlatformFixture::request("a1") + PlatformFixture::request("a2"), 0, 2);
+  s.run_for(150);
   s.node->close();
-  s.answer("a");
-  REQUIRE(s.all["a"].size() == 2);
-  CHECK(s.all["a"][0].body == whole_stream(30));
-  CHECK(s.all["a"][1].status == 503);
-  CHECK(s.all["a"][1].whole);
-  CHECK(s.answer("a").closed);
-  CHECK(s.lines("POST") == 2);
+  s.response("a");
+  REQUIRE(s.responses["a"].size() == 2);
+  CHECK(s.responses["a"][0].body == whole_stream(30));
+  CHECK(s.responses["a"][1].status == 503);
+  CHECK(s.responses["a"][1].complete);
+  CHECK(s.response("a").connection_closed);
+  CHECK(s.count_requests("POST") == 2);
 }
 
 TEST_CASE("told to end: who has just connected may still bring a request, until all are to end") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   const auto late = [&](const std::string& id, io::Nanos after) {
-    s.scope.spawn([](Site& of, std::string name, io::Nanos span) -> io::Task<> {
+    s.scope.spawn([](PlatformFixture& of, std::string name, io::Nanos span) -> io::Task<> {
       io::Socket socket;
       co_await io::connect(of.loop, of.node->address(), socket);
       co_await of.loop.sleep_for(span);
-      co_await socket.write_all(Site::call(name));
-      http::Reader reader(socket, http::Kind::response);
+      co_await socket.write_all(PlatformFixture::request(name));
+      http::MessageReader reader(socket, http::MessageKind::response);
       http::Head head;
       std::string body;
-      if (co_await reader.head(head) == http::Fault::none) co_await reader.rest(body);
-      of.heard[name] = {head.status, "", body, !body.empty(), false, 0, 0};
+      if (co_await reader.read_head(head) == http::MessageError::none) co_await reader.read_body(body);
+      of.last_responses[name] = {head.status, "", body, !body.empty(), false, 0, 0};
     }(s, id, after));
   };
   late("soon", 100 * kMs);
   late("later", 400 * kMs);
-  s.pass(20);
+  s.run_for(20);
   s.node->drain();
-  s.pass(200);
+  s.run_for(200);
   s.node->close();
-  CHECK(s.answer("soon").body == whole_stream(3));
-  CHECK(s.answer("later").status == 0);
-  CHECK(s.lines("POST") == 2);
+  CHECK(s.response("soon").body == whole_stream(3));
+  CHECK(s.response("later").status == 0);
+  CHECK(s.count_requests("POST") == 2);
 }
 
 // Guards against a worker's second answer being taken for that to the next request on its connection.
@@ -800,151 +815,157 @@
     for (const int behind_ms : {1, 10, 40}) {
       CAPTURE(std::string(role));
       CAPTURE(behind_ms);
-      Site s(1, 1);
-      const std::string stream = Worker::stream_head() + Worker::framed(whole_stream(2)) + "0\r\n\r\n";
+      PlatformFixture s(1, 1);
+      const std::string stream =
+          FakeWorker::stream_head() + FakeWorker::chunked(whole_stream(2)) + "0\r\n\r\n";
       const std::string read = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":77}";
-      const std::string other = Worker::stream_head() + Worker::framed(whole_stream(1)) + "0\r\n\r\n";
+      const std::string other =
+          FakeWorker::stream_head() + FakeWorker::chunked(whole_stream(1)) + "0\r\n\r\n";
       const bool reads = role[0] == 'r';
-      s.worker(role).acts = {
-          {reads ? read : stream, Act::Then::keep, 0, false, reads, reads ? read : other, behind_ms * kMs}};
+      s.worker(role).script = {{reads ? read : stream, ScriptedResponse::Finish::keep_alive, 0, false, reads,
+                                reads ? read : other, behind_ms * kMs}};
       // The next request comes to the same worker before its second answer does.
-      s.send("a", Site::call("a1"));
-      s.loop.run_until([&] { return reads ? !s.states.empty() : !s.all["a"].empty(); });
-      s.send("b1", Site::call("b1"));
-      CHECK(s.answer("a").body == whole_stream(reads ? 3 : 2));
-      CHECK(s.answer("b1").body == whole_stream(3));
-      s.send("b2", Site::call("b2"));
-      CHECK(s.answer("b2").body == whole_stream(3));
-      CHECK(s.lines("POST") == 6);
+      s.send("a", PlatformFixture::request("a1"));
+      s.loop.run_until([&] { return reads ? !s.kv_entries.empty() : !s.responses["a"].empty(); });
+      s.send("b1", PlatformFixture::request("b1"));
+      CHECK(s.response("a").body == whole_stream(reads ? 3 : 2));
+      CHECK(s.response("b1").body == whole_stream(3));
+      s.send("b2", PlatformFixture::request("b2"));
+      CHECK(s.response("b2").body == whole_stream(3));
+      CHECK(s.count_requests("POST") == 6);
     }
 }
 
 TEST_CASE("a version that goes back leads to the whole list") {
-  Site s(1, 1);
-  s.agent.rev = 5;
-  s.agent.put(Site::target("gone", "127.0.0.1:1", true, "removed"));
-  s.pass(200);
-  CHECK(s.agent.calls.back().starts_with("/discovery/hosts?index=6"));
-  CHECK(std::ranges::count(s.agent.calls, "/discovery/hosts") == 2);
+  PlatformFixture s(1, 1);
+  s.discovery.rev = 5;
+  s.discovery.update(PlatformFixture::target("gone", "127.0.0.1:1", true, "removed"));
+  s.run_for(200);
+  CHECK(s.discovery.calls.back().starts_with("/discovery/hosts?index=6"));
+  CHECK(std::ranges::count(s.discovery.calls, "/discovery/hosts") == 2);
 }
 
 TEST_CASE("discovery that is silent: the list that was told serves, and calls are bounded in time") {
-  Site s(1, 1);
-  s.agent.silent = true;
-  s.pass(40'000);
-  s.send("a", Site::call("a1"));
-  CHECK(s.answer("a").whole);
-  CHECK(s.agent.calls.size() > 10);
+  PlatformFixture s(1, 1);
+  s.discovery.unresponsive = true;
+  s.run_for(40'000);
+  s.send("a", PlatformFixture::request("a1"));
+  CHECK(s.response("a").complete);
+  CHECK(s.discovery.calls.size() > 10);
 }
 
 TEST_CASE("an entry of a kind or zone that is not known is left out, the others are used") {
-  Site s(1, 1);
-  json odd = Site::target("odd", "127.0.0.1:1", true);
+  PlatformFixture s(1, 1);
+  json odd = PlatformFixture::target("odd", "127.0.0.1:1", true);
   odd["model"] = "unheard-of";
-  s.agent.put(odd);
-  s.pass(20);
-  s.send("a", Site::call("a1"));
-  CHECK(s.answer("a").whole);
+  s.discovery.update(odd);
+  s.run_for(20);
+  s.send("a", PlatformFixture::request("a1"));
+  CHECK(s.response("a").complete);
 }
 
 TEST_CASE("ten thousand workers come and go under new ids: their places are used again") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   std::size_t most = 0;
   for (int batch = 0; batch < 100; ++batch) {
     for (int i = 0; i < 100; ++i)
-      s.agent.put(Site::target(fmt::format("w{}-{}", batch, i), "127.0.0.1:1", i % 2 == 0));
-    s.pass(500);
+      s.discovery.update(PlatformFixture::target(fmt::format("w{}-{}", batch, i), "127.0.0.1:1", i % 2 == 0));
+    s.run_for(500);
     for (int i = 0; i < 100; ++i)
-      s.agent.put(Site::target(fmt::format("w{}-{}", batch, i), "127.0.0.1:1", i % 2 == 0, "removed"));
-    s.pass(6500);
-    if (batch == 49) most = s.node->host().fleet().links().size();
+      s.discovery.update(
+          PlatformFixture::target(fmt::format("w{}-{}", batch, i), "127.0.0.1:1", i % 2 == 0, "removed"));
+    s.run_for(6500);
+    if (batch == 49) most = s.node->host().fleet().entries().size();
   }
   CHECK(most < 1200);
-  CHECK(s.node->host().fleet().links().size() == most);
-  s.send("a", Site::call("a1"));
-  CHECK(s.answer("a").whole);
+  CHECK(s.node->host().fleet().entries().size() == most);
+  s.send("a", PlatformFixture::request("a1"));
+  CHECK(s.response("a").complete);
 }
 
 TEST_CASE(
     "connections to workers are bounded: kept ones make way, and one that has no room is no worker's fault") {
-  Site s(2, 2, small_settings(), 32);  // 12 to workers
-  for (auto& w : s.workers) w->events = 30;
-  for (int i = 0; i < 14; ++i) s.send("a" + std::to_string(i), Site::call("a" + std::to_string(i)));
+  PlatformFixture s(2, 2, test_settings(), 32);  // 12 to workers
+  for (auto& w : s.workers) w->stream_events = 30;
+  for (int i = 0; i < 14; ++i)
+    s.send("a" + std::to_string(i), PlatformFixture::request("a" + std::to_string(i)));
   int served = 0;
   for (int i = 0; i < 14; ++i) {
-    const Got& got = s.answer("a" + std::to_string(i));
-    served += got.whole && got.status == 200;
+    const ReceivedResponse& got = s.response("a" + std::to_string(i));
+    served += got.complete && got.status == 200;
     CHECK((got.status == 200 || got.status == 503));
   }
   CHECK(served >= 10);
-  s.pass(3000);
-  s.send("b", Site::call("b1"));
-  CHECK(s.answer("b").status == 200);
-  CHECK(s.states.empty());
+  s.run_for(3000);
+  s.send("b", PlatformFixture::request("b1"));
+  CHECK(s.response("b").status == 200);
+  CHECK(s.kv_entries.empty());
 }
 
 TEST_CASE("discovery moves under load: the new agent is asked at once, nothing in flight is touched") {
-  Site s(1, 2);
-  s.worker("writer-0").events = s.worker("writer-1").events = 40;
-  for (int i = 0; i < 4; ++i) s.send("a" + std::to_string(i), Site::call("a" + std::to_string(i)));
-  s.pass(100);
-  Agent next(s.loop);
+  PlatformFixture s(1, 2);
+  s.worker("writer-0").stream_events = s.worker("writer-1").stream_events = 40;
+  for (int i = 0; i < 4; ++i)
+    s.send("a" + std::to_string(i), PlatformFixture::request("a" + std::to_string(i)));
+  s.run_for(100);
+  FakeDiscovery next(s.loop);
   next.rev = 100;
-  for (auto& w : s.workers) next.put(Site::target(*w, w->name == "writer-0" ? "draining" : "up"));
-  s.node->move_discovery(next.address());
-  s.pass(50);
+  for (auto& w : s.workers)
+    next.update(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
+  s.node->set_discovery_agent(next.address());
+  s.run_for(50);
   REQUIRE(next.calls.size() >= 2);
   CHECK(next.calls[0] == "/discovery/hosts");
-  for (int i = 0; i < 4; ++i) CHECK(s.answer("a" + std::to_string(i)).body == whole_stream(40));
-  const std::size_t before = s.worker("writer-0").seen.size();
-  s.send("b", Site::call("b1"));
-  CHECK(s.answer("b").whole);
-  CHECK(s.worker("writer-0").seen.size() == before);
-  const std::size_t old_calls = s.agent.calls.size();
-  s.pass(30'000);
-  CHECK(s.agent.calls.size() == old_calls);
+  for (int i = 0; i < 4; ++i) CHECK(s.response("a" + std::to_string(i)).body == whole_stream(40));
+  const std::size_t before = s.worker("writer-0").request_log.size();
+  s.send("b", PlatformFixture::request("b1"));
+  CHECK(s.response("b").complete);
+  CHECK(s.worker("writer-0").request_log.size() == before);
+  const std::size_t old_calls = s.discovery.calls.size();
+  s.run_for(30'000);
+  CHECK(s.discovery.calls.size() == old_calls);
   s.scope.cancel();
   s.node.reset();
 }
 
 TEST_CASE(
     "a planned restart: new connections are served, connections end after their answers, nothing is lost") {
-  Site s(1, 1);
-  s.worker("writer-0").events = 40;
-  s.send("before", Site::call("a1"));
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").stream_events = 40;
+  s.send("before", PlatformFixture::request("a1"));
   s.send("idle", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-  s.pass(100);
+  s.run_for(100);
   s.node->drain();
-  s.send("after", Site::call("b1"));
-  CHECK(s.answer("before").body == whole_stream(40));
-  CHECK(s.answer("after").body == whole_stream(40));
-  CHECK(s.answer("before").closed);
-  CHECK(s.answer("after").closed);
-  s.pass(50);
+  s.send("after", PlatformFixture::request("b1"));
+  CHECK(s.response("before").body == whole_stream(40));
+  CHECK(s.response("after").body == whole_stream(40));
+  CHECK(s.response("before").connection_closed);
+  CHECK(s.response("after").connection_closed);
+  s.run_for(50);
   CHECK(s.node->settled());
 }
 
 TEST_CASE("the program: SIGHUP with a bad file and a good one, SIGTERM with a stream in hand, exit 0") {
   io::Loop loop;
-  States states;
-  Worker reader(loop, "reader-0", true, states), writer(loop, "writer-0", false, states);
-  writer.events = 60;
-  Agent first(loop), second(loop);
-  for (Agent* a : {&first, &second})
-    for (Worker* w : {&reader, &writer}) a->put(Site::target(*w));
+  KvEntries states;
+  FakeWorker reader(loop, "reader-0", true, states), writer(loop, "writer-0", false, states);
+  writer.stream_events = 60;
+  FakeDiscovery first(loop), second(loop);
+  for (FakeDiscovery* a : {&first, &second})
+    for (FakeWorker* w : {&reader, &writer}) a->update(PlatformFixture::target(*w));
   std::string address;
   {
     io::Listener port(loop, kAnyPort);
-    address = port.address().text();
+    address = port.address().to_string();
   }
   const std::string path = fmt::format("/tmp/cressrill-platform-{}.json", static_cast<const void*>(&loop));
   const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
   json config = {{"name", "n0"},
                  {"listen", address},
-                 {"discovery", first.address().text()},
+                 {"discovery", first.address().to_string()},
                  {"seed", "1"},
                  {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
-                 {"settings", small_settings()}};
+                 {"settings", test_settings()}};
   write(config.dump());
   ::setenv("EDGE_CONFIG", path.c_str(), 1);
   rig::Process router({ROUTER_PROGRAM, "--platform"}, path + ".log");
@@ -964,7 +985,8 @@
   io::Scope scope(loop);
   scope.spawn([](io::Loop& l, std::shared_ptr<http::Pool> to, int& s) -> io::Task<> {
     while (s != 200) {
-      const http::Exchange got = co_await http::exchange(to, http::request_text("GET", "/up", "h", "", ""));
+      const http::ExchangeResult got =
+          co_await http::exchange(to, http::format_request("GET", "/up", "h", "", ""));
       s = got.head.status;
       co_await l.sleep_for(10 * kMs);
     }
@@ -972,7 +994,7 @@
   REQUIRE(until([&] { return status == 200 && first.calls.size() >= 2; }));
   write("{ not json");
   ::kill(router.pid(), SIGHUP);
-  config["discovery"] = second.address().text();
+  config["discovery"] = second.address().to_string();
   CHECK(until([&] {
     std::ifstream log(path + ".log");
     return std::string(std::istreambuf_iterator<char>(log), {}).find("configuration not taken") !=
@@ -983,10 +1005,10 @@
   ::kill(router.pid(), SIGHUP);
   CHECK(until([&] { return second.calls.size() >= 2; }));
   scope.spawn([](std::shared_ptr<http::Pool> to, std::string& b, bool& done) -> io::Task<> {
-    http::Exchange got = co_await http::exchange(to, Site::call("a1"));
+    http::ExchangeResult got = co_await http::exchange(to, PlatformFixture::request("a1"));
     b = got.body, done = true;
   }(pool, body, over));
-  CHECK(until([&] { return writer.open > 0; }));
+  CHECK(until([&] { return writer.open_requests > 0; }));
   router.terminate();
   CHECK(until([&] { return over; }));
   CHECK(body == whole_stream(60));
@@ -997,10 +1019,10 @@
 
 TEST_CASE("signals are told by their number, in the order in which they came") {
   io::Loop loop;
-  io::Signals signals(loop, {SIGHUP, SIGUSR2});
+  io::SignalSet signals(loop, {SIGHUP, SIGUSR2});
   std::vector<int> came;
   io::Scope scope(loop);
-  scope.spawn([](io::Signals& from, std::vector<int>& to) -> io::Task<> {
+  scope.spawn([](io::SignalSet& from, std::vector<int>& to) -> io::Task<> {
     for (;;) to.push_back(co_await from.wait());
   }(signals, came));
   std::raise(SIGHUP);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE("writers by reported memory, ties by cell, then by own stream tokens") {
   Trace t("writer_order", small_deployment(), 1, 3);
-  t.listed(3, Standing::ready, 1, 0, 5);
+  t.listed(3, WorkerStatus::ready, 1, 0, 5);
   t.read(0, 0, 3000, 50);
   t.until(100);
   t.ended(0, 1, Outcome::error, 0, 0.9);  // worker 1 says that it is nearly full
@@ -37,30 +37,30 @@
 
 TEST_CASE("a draining worker gets nothing new") {
   Trace t("drain");
-  t.listed(0, Standing::draining, 0);
-  t.listed(2, Standing::gone, 1);
+  t.listed(0, WorkerStatus::draining, 0);
+  t.listed(2, WorkerStatus::gone, 1);
   t.whole(0, 1, 3000);
-  t.listed(1, Standing::draining, 0);
+  t.listed(1, WorkerStatus::draining, 0);
   t.came(1, 1, 3000);
   t.until(1000);
 }
 
 TEST_CASE("a cold worker gets a small share, spread over time") {
   Trace t("cold_start", small_deployment(), 2, 2);
-  t.listed(0, Standing::ready, 0, 1);
+  t.listed(0, WorkerStatus::ready, 0, 1);
   for (int seq = 0; seq < 12; ++seq) t.whole(seq, 0, 3000);
 }
 
 TEST_CASE("among a hundred routers a cold worker gets a hundredth, and nothing is saved up for it") {
-  Deployment d = small_deployment();
+  PolicySettings d = small_deployment();
   d.routers = 100;
   d.kinds[1].memory_tokens = 0;  // no bound, so that all are read at once
   Trace t("cold_hundred", d, 1, 3);
   t.until(5000);
-  t.listed(2, Standing::ready, 1, 4000 * kMs);
+  t.listed(2, WorkerStatus::ready, 1, 4000 * kMs);
   for (int seq = 0; seq < 6; ++seq) t.came(seq, 0, 1000);
   t.until(5050);
-  for (int seq = 0; seq < 6; ++seq) t.ended(seq, 0, Outcome::read_done);  // all at once to writers
+  for (int seq = 0; seq < 6; ++seq) t.ended(seq, 0, Outcome::prefill_done);  // all at once to writers
 }
 
 TEST_CASE("a state from a read that was left for late is used, or let go once another waits") {
@@ -68,9 +68,9 @@
   t.until(100);
   t.came(0, 0, 3000);
   t.until(1400);  // left for late, sent to the other reader
-  t.ended(0, 0, Outcome::read_done);
+  t.ended(0, 0, Outcome::prefill_done);
   t.until(1450);
-  t.ended(0, 2, Outcome::no_state);
+  t.ended(0, 2, Outcome::kv_missing);
   t.until(1460);
 }
 
@@ -79,7 +79,7 @@
   t.until(100);
   t.came(0, 0, 3000, 3000);
   t.until(200);
-  t.ended(0, 0, Outcome::read_done);
+  t.ended(0, 0, Outcome::prefill_done);
   t.until(1250);  // left for late, sent to the other writer
   t.began(0, 1);
   t.ended(0, 2, Outcome::cancelled);
@@ -113,7 +113,7 @@
 
 TEST_CASE("what was down and answers again counts as cold before the list tells") {
   Trace t("cold_guess", small_deployment(), 2, 1);
-  t.listed(1, Standing::draining, 0);
+  t.listed(1, WorkerStatus::draining, 0);
   t.came(0, 0, 3000);
   t.until(20);
   t.ended(0, 0, Outcome::connection_lost);
@@ -133,7 +133,7 @@
   t.until(20);
   t.ended(0, 0, Outcome::connection_lost);
   t.until(60);
-  t.ended(0, 1, Outcome::read_done);
+  t.ended(0, 1, Outcome::prefill_done);
   t.until(80);
   t.left(0);
   t.ended(0, 2, Outcome::cancelled);
@@ -176,7 +176,7 @@
 TEST_CASE("all readers cold at once: a part is sent, the rest is answered at once") {
   Trace t("all_cold", small_deployment(), 2, 1);
   t.until(5000);
-  for (int w = 0; w < 2; ++w) t.listed(w, Standing::ready, 0, 4000 * kMs);
+  for (int w = 0; w < 2; ++w) t.listed(w, WorkerStatus::ready, 0, 4000 * kMs);
   for (int seq = 0; seq < 6; ++seq) t.came(seq, 0, 1000);
   t.until(5600);
 }
@@ -208,7 +208,7 @@
   Trace t("pinned", small_deployment(), 1, 1);
   t.read(0, 0, 3000, 100);
   t.until(150);
-  t.listed(1, Standing::draining, 1);
+  t.listed(1, WorkerStatus::draining, 1);
   t.ended(0, 1, Outcome::full);
   t.until(600);
 }
@@ -216,8 +216,8 @@
 TEST_CASE(
     "a state whose writers cannot be reached is let go of in time: failed connections do not restart its "
     "time") {
-  Deployment d = small_deployment();
-  d.pin_limit = 1000 * kMs;
+  PolicySettings d = small_deployment();
+  d.kv_hold_limit = 1000 * kMs;
   Trace t("pinned_unreached", d, 1, 3);
   t.read(0, 0, 3000, 50);
   for (int attempt = 1; attempt <= 2; ++attempt) {
@@ -230,14 +230,14 @@
   Trace t("writers_full", small_deployment(), 1, 1);
   for (int seq = 0; seq < 5; ++seq) t.came(seq, 0, 30000);
   t.until(200);
-  t.ended(0, 0, Outcome::read_done);
+  t.ended(0, 0, Outcome::prefill_done);
   t.until(210);
   t.ended(0, 1, Outcome::full);
   t.until(1200);
 }
 
 TEST_CASE("a once-only sequence that may have run is aborted, not sent or rejected") {
-  Deployment d = small_deployment();
+  PolicySettings d = small_deployment();
   d.types[0].effect = Effect::once_only;
   Trace t("once_only", d);
   t.read(0, 0, 3000, 100);
@@ -249,12 +249,12 @@
 }
 
 TEST_CASE("a tokened sequence that may have run stays in its cell") {
-  Deployment d = small_deployment();
+  PolicySettings d = small_deployment();
   d.types[0].effect = Effect::tokened;
   d.types[0].group = Group::cell;
   d.types[0].window = 2000 * kMs;
   Trace t("tokened", d, 1, 3);
-  t.listed(2, Standing::ready, 1, 0, 9);  // the others are in the reader's cell
+  t.listed(2, WorkerStatus::ready, 1, 0, 9);  // the others are in the reader's cell
   t.read(0, 0, 3000, 100);
   t.until(120);
   t.ended(0, 1, Outcome::error);
@@ -264,28 +264,28 @@
 }
 
 TEST_CASE("the last moment: an answer before the client gives up, and nothing after it") {
-  Deployment d = small_deployment();
-  d.attempts_cap = 2;
+  PolicySettings d = small_deployment();
+  d.max_attempts = 2;
   Trace t("last_moment", d, 1, 1);
   t.came(0, 0, 3000, 1000);
   t.until(700);
-  t.ended(0, 0, Outcome::read_done);
+  t.ended(0, 0, Outcome::prefill_done);
   t.until(1100);
   t.ended(0, 1, Outcome::timed_out);
 }
 
 TEST_CASE("past its share a tenant waits behind the others") {
-  Deployment d = small_deployment();
+  PolicySettings d = small_deployment();
   d.tenant_rates = {1, 1};
   Trace t("tenant_share", d, 1, 1);
   for (int seq = 0; seq < 12; ++seq) t.came(seq, 0, 9000, 6000, 0, 0, 0, 0);
   t.came(12, 0, 9000, 6000, 0, 0, 0, 1);
   t.until(100);
-  t.ended(0, 0, Outcome::read_done);
+  t.ended(0, 0, Outcome::prefill_done);
 }
 
 TEST_CASE("a share of a hundredth of a sequence a second still lets a storefront in") {
-  Deployment d = small_deployment();
+  PolicySettings d = small_deployment();
   d.tenant_rates = {1, 1};
   d.routers = 100;
   d.kinds[1].memory_tokens = 0;
@@ -293,7 +293,7 @@
   for (int seq = 0; seq < 12; ++seq) t.came(seq, 0, 900, 6000, 0, 0, 0, 0);
   t.came(12, 0, 900, 6000, 0, 0, 0, 1);  // before what is past the other's share
   t.until(50);
-  t.ended(0, 0, Outcome::read_done);
+  t.ended(0, 0, Outcome::prefill_done);
   t.until(60);
   t.began(0, 1);
 }
@@ -303,13 +303,13 @@
   for (int seq = 0; seq < 8; ++seq) t.came(seq, 0, 3000, 9000);
   for (int seq = 0; seq < 8; ++seq) {
     t.until(1300 + 80 * seq);
-    t.ended(seq, 0, Outcome::read_done);
+    t.ended(seq, 0, Outcome::prefill_done);
     t.until(1320 + 80 * seq);
     t.began(seq, 1);
   }
   for (int seq = 8; seq < 16; ++seq) t.came(seq, 0, 5000 - 300 * seq, 9000);  // the last has least to read
   t.until(2000);
-  t.ended(8, 0, Outcome::read_done);
+  t.ended(8, 0, Outcome::prefill_done);
   t.until(2020);
   t.began(8, 1);
 }
@@ -327,15 +327,15 @@
 
 TEST_CASE("a zone with few readers leaves the rest of its sessions a home in the other zone") {
   Trace t("uneven_zones", small_deployment(), 4, 1);
-  for (int w = 1; w < 4; ++w) t.listed(w, Standing::ready, 0, 0, 1, 1);  // one reader here, three there
+  for (int w = 1; w < 4; ++w) t.listed(w, WorkerStatus::ready, 0, 0, 1, 1);  // one reader here, three there
   for (int seq = 0; seq < 6; ++seq) t.whole(seq, 90 + static_cast<std::uint64_t>(seq), 5000, 4800);
 }
 
 TEST_CASE("a cell with few writers keeps only an even part of what its readers feed") {
   Trace t("uneven_cells", small_deployment(), 3, 4);
-  t.listed(2, Standing::ready, 0, 0, 1);
+  t.listed(2, WorkerStatus::ready, 0, 0, 1);
   for (int w = 4; w < 7; ++w)
-    t.listed(w, Standing::ready, 1, 0, 1);  // 2 readers, 1 writer; 1 reader, 3 writers
+    t.listed(w, WorkerStatus::ready, 1, 0, 1);  // 2 readers, 1 writer; 1 reader, 3 writers
   for (int seq = 0; seq < 8; ++seq) t.whole(seq, 0, 3000);
 }
 
@@ -352,7 +352,7 @@
 }
 
 TEST_CASE("no readers: mixed workers do both with one attempt") {
-  Deployment d = small_deployment();
+  PolicySettings d = small_deployment();
   d.kinds[1].role = Role::mixed;
   Trace t("mixed_only", d, 0, 2);
   t.came(0, 0, 3000);
@@ -362,10 +362,10 @@
 }
 
 TEST_CASE("an empty list, and a list that must be asked for") {
-  Deployment d = small_deployment();
-  d.asks_for_list = true;
-  d.must_ask_in = 1000 * kMs;
-  d.retry_after = true;
+  PolicySettings d = small_deployment();
+  d.needs_subscription = true;
+  d.subscription_lifetime = 1000 * kMs;
+  d.send_retry_after = true;
   Trace t("empty_list", d, 0, 0);
   t.came(0, 0, 3000);
   t.until(1000);
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -19,16 +19,16 @@
 
 namespace cressrill::testing {
 
-inline sockaddr_in raw_address(const io::Address& address) {
+inline sockaddr_in to_sockaddr(const io::Address& address) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
   out.sin_port = htons(address.port);
-  out.sin_addr.s_addr = htonl(address.host);
+  out.sin_addr.s_addr = htonl(address.ip);
   return out;
 }
 
 // Whether that is one answer with status 200 and a stream that came to its last chunk.
-inline bool served_whole(std::string_view text) {
+inline bool is_complete_stream(std::string_view text) {
   return text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n");
 }
 
@@ -61,12 +61,12 @@
     }
   }
   const std::string& text() const { return text_; }
-  void forget_text() { text_.clear(); }
+  void clear_text() { text_.clear(); }
   // The peer has ended its sending in order, or broken the connection; told by read().
   bool ended() const { return ended_; }
   bool reset() const { return reset_; }
   // Ends its own sending; what the peer sends can still be read.
-  void end_sending() { ::shutdown(descriptor_, SHUT_WR); }
+  void shutdown_write() { ::shutdown(descriptor_, SHUT_WR); }
   void close(bool hard = false) {
     if (descriptor_ < 0) return;
     if (hard) {
@@ -95,7 +95,7 @@
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (receive_buffer > 0)
       ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
-    const sockaddr_in target = raw_address(server);
+    const sockaddr_in target = to_sockaddr(server);
     const int made = ::connect(descriptor, reinterpret_cast<const sockaddr*>(&target), sizeof target);
     CHECK(made == 0);
     ::fcntl(descriptor, F_SETFL, ::fcntl(descriptor, F_GETFL) | O_NONBLOCK);
--- a/tests/raw_server.h
+++ b/tests/raw_server.h
@@ -30,7 +30,9 @@
 
   const io::Address& address() const { return address_; }
   // Connections from now on hold so many bytes unread.
-  void receive_little(int bytes) { ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
+  void set_receive_buffer(int bytes) {
+    ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
+  }
   // The next connection that waits, or null.
   std::unique_ptr<RawConnection> accept() {
     const int taken = ::accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -44,7 +46,7 @@
 
 // Lets no handed time pass until that holds, though real time does: for what the kernel does in its own time.
 template <class Condition>
-bool without_time(io::Loop& loop, Condition condition) {
+bool run_with_stopped_clock(io::Loop& loop, Condition condition) {
   io::Scope scope(loop);
   scope.spawn([](io::Loop& l) -> io::Task<> {
     for (;;) co_await l.sleep_for(0);
@@ -62,17 +64,17 @@
     if (in_the_queue_ >= 0) ::close(in_the_queue_);
   }
   const io::Address& address() const { return server_.address(); }
-  void hang() {
+  void fill_accept_queue() {
     in_the_queue_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-    const sockaddr_in target = raw_address(server_.address());
+    const sockaddr_in target = to_sockaddr(server_.address());
     ::connect(in_the_queue_, reinterpret_cast<const sockaddr*>(&target), sizeof target);
   }
-  void let_in() {
+  void drain_accept_queue() {
     while (server_.accept()) {
     }
   }
   // Connections from now on hold so many bytes unread.
-  void receive_little(int bytes) { server_.receive_little(bytes); }
+  void set_receive_buffer(int bytes) { server_.set_receive_buffer(bytes); }
   std::unique_ptr<RawConnection> accept() { return server_.accept(); }
 
  private:
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -6,28 +6,28 @@
 
 // Guards rule 5: nobody else knows of the state.
 TEST_CASE("a process that is told to end waits until a worker has heard that a state is let go of") {
-  Site s(1, 1);
-  s.worker("writer-0").acts = always_full();
-  s.send("a", Site::call("a1"));
-  s.until([&] { return !s.states.empty(); });
-  s.worker("reader-0").die();
-  s.until([&] { return s.node->host().live() == 0; });
-  REQUIRE(!s.states.empty());
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").script = always_reject();
+  s.send("a", PlatformFixture::request("a1"));
+  s.run_until([&] { return !s.kv_entries.empty(); });
+  s.worker("reader-0").crash();
+  s.run_until([&] { return s.node->host().live_requests() == 0; });
+  REQUIRE(!s.kv_entries.empty());
   CHECK(!s.node->settled());
-  s.until([&] { return s.node->settled(); });
-  CHECK(s.states.empty());
+  s.run_until([&] { return s.node->settled(); });
+  CHECK(s.kv_entries.empty());
 }
 
 TEST_CASE("a process whose workers all are gone is not held up by a state for longer than its limit") {
-  Site s(1, 1);
-  s.worker("writer-0").acts = always_full();
-  s.send("a", Site::call("a1"));
-  s.until([&] { return !s.states.empty(); });
-  for (auto& w : s.workers) w->die();
-  s.until([&] { return s.node->host().live() == 0; });
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").script = always_reject();
+  s.send("a", PlatformFixture::request("a1"));
+  s.run_until([&] { return !s.kv_entries.empty(); });
+  for (auto& w : s.workers) w->crash();
+  s.run_until([&] { return s.node->host().live_requests() == 0; });
   const io::Nanos over = s.loop.now();
-  s.until([&] { return s.node->settled(); });
-  CHECK(s.loop.now() - over <= s.placement->station.deployment.pin_limit);
+  s.run_until([&] { return s.node->settled(); });
+  CHECK(s.loop.now() - over <= s.node_config->config.settings.kv_hold_limit);
 }
 
 // Guards against an exit while a release may still reach a worker: SIGKILL comes 3.7 s after SIGTERM at the earliest.
@@ -35,24 +35,24 @@
     "a process that ends while all links are silent for longer than the limit releases once they pass") {
   for (const int limit_ms : {300, 500, 1000}) {
     CAPTURE(limit_ms);
-    Site s(2, 2, with_limit(limit_ms));
-    warm(s);
-    for (auto& w : s.workers) w->cut = !w->reads;
-    send_some(s, 2, "600");
-    s.until([&] { return s.states.size() == 2; });
-    for (auto& w : s.workers) w->cut = true;
+    PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
+    warm_up(s);
+    for (auto& w : s.workers) w->link_silent = !w->is_prefill;
+    send_requests(s, 2, "600");
+    s.run_until([&] { return s.kv_entries.size() == 2; });
+    for (auto& w : s.workers) w->link_silent = true;
     const io::Nanos told_to_end = s.loop.now();
-    s.node->announce_end();
-    s.pass(450);
+    s.node->announce_shutdown();
+    s.run_for(450);
     s.node->drain();
-    s.pass(100);
+    s.run_for(100);
     s.node->close();
-    s.until([&] { return s.node->settled() || s.loop.now() - told_to_end >= 2800 * kMs; });
+    s.run_until([&] { return s.node->settled() || s.loop.now() - told_to_end >= 2800 * kMs; });
     CHECK(!s.node->settled());
-    for (auto& w : s.workers) w->cut = false, w->cut_connections = w->connections;
-    s.until([&] { return s.node->settled() || s.loop.now() - told_to_end >= 3700 * kMs; });
+    for (auto& w : s.workers) w->link_silent = false, w->silent_connections = w->accepted_connections;
+    s.run_until([&] { return s.node->settled() || s.loop.now() - told_to_end >= 3700 * kMs; });
     CHECK(s.node->settled());
-    CHECK(s.states.empty());
+    CHECK(s.kv_entries.empty());
   }
 }
 
@@ -62,70 +62,70 @@
     for (const int leaves_ms : {3100, 3400}) {
       CAPTURE(limit_ms);
       CAPTURE(leaves_ms);
-      Site s(2, 2, with_limit(limit_ms));
-      warm(s);
-      for (auto& w : s.workers) w->cut = true;
-      s.node->announce_end();
-      s.pass(450);
+      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
+      warm_up(s);
+      for (auto& w : s.workers) w->link_silent = true;
+      s.node->announce_shutdown();
+      s.run_for(450);
       s.node->drain();
-      s.pass(100);
+      s.run_for(100);
       for (const char* id : {"a1", "a2", "a3", "a4"})
-        s.send(id, Site::call(id, Site::prompt(), "8000"), leaves_ms * kMs);
-      s.pass(30);
+        s.send(id, PlatformFixture::request(id, PlatformFixture::request_body(), "8000"), leaves_ms * kMs);
+      s.run_for(30);
       s.node->close();
-      s.pass(leaves_ms - 200);
+      s.run_for(leaves_ms - 200);
       for (auto& w : s.workers)
-        if (w->reads) w->cut = false, w->cut_connections = w->connections;
-      s.pass(160);
+        if (w->is_prefill) w->link_silent = false, w->silent_connections = w->accepted_connections;
+      s.run_for(160);
       for (auto& w : s.workers) {  // new connections to one of them pass
-        w->cut = w->name != "writer-1";
-        w->cut_connections = w->cut ? 0 : w->connections;
+        w->link_silent = w->name != "writer-1";
+        w->silent_connections = w->link_silent ? 0 : w->accepted_connections;
       }
-      REQUIRE(s.until([&] { return s.node->host().live() == 0; }));
-      CHECK(s.until([&] { return s.node->settled(); }));
-      CHECK(s.states.empty());
+      REQUIRE(s.run_until([&] { return s.node->host().live_requests() == 0; }));
+      CHECK(s.run_until([&] { return s.node->settled(); }));
+      CHECK(s.kv_entries.empty());
     }
 }
 
 // Guards against a request that the machine has accepted and that nobody reads: its connection would be reset.
 TEST_CASE("a connection that the machine accepted before the listener closes is answered") {
-  Site s(1, 1);
+  PlatformFixture s(1, 1);
   RawClient client(s.node->address());
-  client.write(Site::call("a1"));
+  client.write(PlatformFixture::request("a1"));
   s.node->close();  // the scheduler has not heard of that connection yet
-  s.pass(50);
+  s.run_for(50);
   client.read();
   CHECK(client.text().starts_with("HTTP/1.1 503"));
   CHECK(client.ended());
   CHECK(!client.reset());
-  CHECK(s.lines("POST") == 0);
+  CHECK(s.count_requests("POST") == 0);
 }
 
 TEST_CASE("GET /up denies once the end is announced, while requests are served as before") {
-  Site s(1, 1);
-  s.node->announce_end();
+  PlatformFixture s(1, 1);
+  s.node->announce_shutdown();
   s.send("up", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-  CHECK(s.answer("up").status == 503);
-  s.send("a", Site::call("a1"));
-  CHECK(s.answer("a").whole);
-  CHECK(!s.answer("a").closed);
+  CHECK(s.response("up").status == 503);
+  s.send("a", PlatformFixture::request("a1"));
+  CHECK(s.response("a").complete);
+  CHECK(!s.response("a").connection_closed);
 }
 
 // Guards against a request of which a part has been read and that is dropped without an answer.
 TEST_CASE("half a request as connections begin to end: the rest is awaited, and it is served") {
-  Site s(1, 1);
-  const std::string request = Site::call("a1");
+  PlatformFixture s(1, 1);
+  const std::string request = PlatformFixture::request("a1");
   for (const std::size_t part : {std::size_t{40}, request.size() - 5}) {
     CAPTURE(part);
     RawClient client(s.node->address());
     client.write(request.substr(0, part));
-    s.pass(20);
+    s.run_for(20);
     s.node->drain();
-    s.pass(20);
+    s.run_for(20);
     client.write(request.substr(part));
-    s.pass(400);
+    s.run_for(400);
     client.read();
-    CHECK(served_whole(client.text()));
+    CHECK(is_complete_stream(client.text()));
     CHECK(client.ended());
     CHECK(!client.reset());
   }
@@ -135,43 +135,43 @@
     "half a request as the process is about to end: it is refused once it is whole, and nothing is sent") {
   for (const bool on_a_resting_connection : {false, true}) {
     CAPTURE(on_a_resting_connection);
-    Site s(1, 1);
-    const std::string request = Site::call("a1");
+    PlatformFixture s(1, 1);
+    const std::string request = PlatformFixture::request("a1");
     RawClient client(s.node->address());
     if (on_a_resting_connection) {
       client.write("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-      s.pass(10);
+      s.run_for(10);
       client.read();
-      client.forget_text();
+      client.clear_text();
     }
     client.write(request.substr(0, 40));
-    s.pass(20);
+    s.run_for(20);
     s.node->close();
-    s.pass(20);
+    s.run_for(20);
     client.write(request.substr(40));
-    s.pass(50);
+    s.run_for(50);
     client.read();
     CHECK(client.text().starts_with("HTTP/1.1 503"));
     CHECK(client.text().find("retry-after: 0.2") != std::string::npos);
     CHECK(client.ended());
     CHECK(!client.reset());
-    CHECK(s.lines("POST") == 0);
+    CHECK(s.count_requests("POST") == 0);
   }
 }
 
 TEST_CASE(
     "a stream that flows as the process is about to end comes to its end, and its connection ends in order") {
-  Site s(1, 1);
-  s.worker("writer-0").events = 100;
+  PlatformFixture s(1, 1);
+  s.worker("writer-0").stream_events = 100;
   RawClient client(s.node->address());
-  client.write(Site::call("a1"));
-  s.pass(200);
+  client.write(PlatformFixture::request("a1"));
+  s.run_for(200);
   s.node->close();
-  s.pass(100);
+  s.run_for(100);
   CHECK(!s.node->settled());
-  s.pass(2500);
+  s.run_for(2500);
   client.read();
-  CHECK(served_whole(client.text()));
+  CHECK(is_complete_stream(client.text()));
   CHECK(client.ended());
   CHECK(!client.reset());
   CHECK(s.node->settled());
@@ -181,15 +181,16 @@
 TEST_CASE("requests that were read behind another one as the process drains or closes are answered, each") {
   for (const bool closes : {false, true}) {
     CAPTURE(closes);
-    Site s(1, 1);
-    s.worker("writer-0").acts = {{"", Act::Then::keep, 200 * kMs, true}};
+    PlatformFixture s(1, 1);
+    s.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 200 * kMs, true}};
     RawClient client(s.node->address());
-    client.write(Site::call("a1") + Site::call("a2") + Site::call("a3").substr(0, 50));
-    s.pass(100);
+    client.write(PlatformFixture::request("a1") + PlatformFixture::request("a2") +
+                 PlatformFixture::request("a3").substr(0, 50));
+    s.run_for(100);
     closes ? s.node->close() : s.node->drain();
-    s.pass(400);
-    client.write(Site::call("a3").substr(50));
-    s.pass(500);
+    s.run_for(400);
+    client.write(PlatformFixture::request("a3").substr(50));
+    s.run_for(500);
     client.read();
     std::size_t answers = 0;
     for (std::size_t at = 0; (at = client.text().find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++answers;
@@ -205,19 +206,19 @@
 TEST_CASE("a request that comes once its connection has been ended is not read") {
   for (const bool between : {true, false}) {  // ended between two requests, or after an answer that ends it
     CAPTURE(between);
-    Site s(1, 1);
+    PlatformFixture s(1, 1);
     RawClient client(s.node->address());
-    client.write(Site::call("a1"));
-    if (!between) s.pass(30), s.node->drain();
-    s.pass(300);
-    if (between) s.node->drain(), s.pass(5);
+    client.write(PlatformFixture::request("a1"));
+    if (!between) s.run_for(30), s.node->drain();
+    s.run_for(300);
+    if (between) s.node->drain(), s.run_for(5);
     client.read();
-    REQUIRE(served_whole(client.text()));
+    REQUIRE(is_complete_stream(client.text()));
     REQUIRE(client.ended());
-    client.write(Site::call("a2"));
-    s.pass(1500);
+    client.write(PlatformFixture::request("a2"));
+    s.run_for(1500);
     CHECK(client.write(" ") == 0);  // the reset has come
-    CHECK(s.lines("POST") == 2);
+    CHECK(s.count_requests("POST") == 2);
   }
 }
 
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -9,7 +9,7 @@
 
 namespace cressrill::simhost {
 
-using profile::decode_profile;
+using profile::decode_settings;
 
 using Frame = std::vector<unsigned char>;
 
@@ -45,10 +45,10 @@
     "obligations.fallMultiple=4.0\nobligations.fallMs=3000.0\n";
 
 static std::string error_of(const Frame& frame) {
-  Host host;
+  BatchHandler host;
   Reply reply;
   try {
-    host.take(frame, reply);
+    host.handle(frame, reply);
   } catch (const WireError& error) {
     return error.what();
   }
@@ -73,25 +73,26 @@
 
 TEST_CASE("a missing or unreadable setting is named") {
   std::string text = kProfile;
-  CHECK_NOTHROW(decode_profile(text));
+  CHECK_NOTHROW(decode_settings(text));
   text.erase(text.find("instances=2\n"), 12);
-  CHECK_THROWS_WITH(decode_profile(text), "settings: 'instances' is missing");
-  CHECK_THROWS_WITH(decode_profile(text + "instances=two\n"), "settings: 'instances' is 'two', not a number");
+  CHECK_THROWS_WITH(decode_settings(text), "settings: 'instances' is missing");
+  CHECK_THROWS_WITH(decode_settings(text + "instances=two\n"),
+                    "settings: 'instances' is 'two', not a number");
 }
 
 TEST_CASE("legal oddities are taken, and a sequence without workers is answered") {
-  Host host;
+  BatchHandler host;
   Reply reply;
   std::ostringstream out;
-  CHECK(host.take(batch({}), reply) == 9);
+  CHECK(host.handle(batch({}), reply) == 9);
   const std::string entries;
   const Frame at = record(11, {{3, 2}});
   const Frame ask = record(8, {{77, 8}, {0, 2}, {0, 2}, {5, 8}, {std::bit_cast<std::uint64_t>(1005.0), 8}});
-  host.take(batch({at, power_on(kProfile.size()), record(4, {{0, 1}, {0, 4}, {0, 4}}),
-                   record(7, {{2, 1}, {1, 8}, {0, 1}}), ask, record(9, {{123, 8}}), record(10, {{4, 4}}),
-                   record(3, {{123, 8}, {0, 1}, {1, 4}, {306, 2}})},
-                  kProfile),
-            reply);
+  host.handle(batch({at, power_on(kProfile.size()), record(4, {{0, 1}, {0, 4}, {0, 4}}),
+                     record(7, {{2, 1}, {1, 8}, {0, 1}}), ask, record(9, {{123, 8}}), record(10, {{4, 4}}),
+                     record(3, {{123, 8}, {0, 1}, {1, 4}, {306, 2}})},
+                    kProfile),
+              reply);
   reply.write(out, 9);
   const std::string bytes = out.str();
   REQUIRE(bytes.size() >= 12 + 2 * 24);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -33,18 +33,18 @@
 class Fleet {
  public:
   Fleet(int routers, const Day& day, unsigned seed) : day_(day), chance_(seed), seeds_(seed) {
-    Deployment d;
+    PolicySettings d;
     d.types.push_back({Effect::repeatable, Group::all, 0, 1500 * kMs, 40 * kMs, 1});
-    d.kinds = {{Role::reader, 0}, {Role::writer, 0}};
+    d.kinds = {{Role::prefill, 0}, {Role::decode, 0}};
     d.routers = routers;
     d.tick = 2 * kMs;
-    d.attempts_cap = 6;
-    d.cancelling = d.second_copies = true;
-    d.pin_limit = 1000 * kMs;
-    d.cold_from = 0.25;
+    d.max_attempts = 6;
+    d.can_cancel = d.allow_parallel_attempts = true;
+    d.kv_hold_limit = 1000 * kMs;
+    d.cold_start_capacity = 0.25;
     d.ramp_time = 12'000 * kMs;
-    d.fall_multiple = 4;
-    d.fall_span = 3'000 * kMs;
+    d.overload_factor = 4;
+    d.overload_window = 3'000 * kMs;
     deployment_ = d;
     got_.resize(2 * kOfRole);
     for (int r = 0; r < routers; ++r) {
@@ -89,8 +89,8 @@
       policy_->list_begins(now, true);
       for (int w = 0; w < 2 * kOfRole; ++w) {
         const bool cold = std::ranges::find(of_.day_.cold, w) != of_.day_.cold.end();
-        policy_->worker_listed(w, static_cast<std::uint64_t>(w + 1) * 0x9e3779b97f4a7c15u, Standing::ready,
-                               cold ? started : 0, w < kOfRole ? 0 : 1, 0, 0);
+        policy_->worker_listed(w, static_cast<std::uint64_t>(w + 1) * 0x9e3779b97f4a7c15u,
+                               WorkerStatus::ready, cold ? started : 0, w < kOfRole ? 0 : 1, 0, 0);
       }
       policy_->list_ends();
     }
@@ -101,10 +101,10 @@
         seq = static_cast<int>(attempts_.size()), attempts_.emplace_back();
       else
         seq = free_.back(), free_.pop_back(), attempts_[static_cast<std::size_t>(seq)] = 0;
-      policy_->sequence_came(now, seq, 0, 0, session | 1, 0, 2000, 0, 200, now + 6000 * kMs);
+      policy_->request_arrived(now, seq, 0, 0, session | 1, 0, 2000, 0, 200, now + 6000 * kMs);
     }
     void step(Nanos now) {
-      policy_->woke(now);
+      policy_->on_wakeup(now);
       for (std::size_t n = events_.size(); n-- > 0;) {
         Event e = events_.front();
         events_.pop_front();
@@ -112,12 +112,12 @@
           events_.push_back(e);
           continue;
         }
-        if (e.what == 1) policy_->stream_began(now, e.seq, e.attempt, 60 * kMs);
+        if (e.what == 1) policy_->stream_started(now, e.seq, e.attempt, 60 * kMs);
         if (e.what == 1) events_.push_back({now + 1000 * kMs, e.seq, e.attempt, false, false, 2});
         if (e.what != 1)
           policy_->attempt_ended(now, e.seq, e.attempt,
                                  e.turned_away ? Outcome::full
-                                 : e.reads     ? Outcome::read_done
+                                 : e.reads     ? Outcome::prefill_done
                                                : Outcome::generated,
                                  60 * kMs, e.what == 2, 0, {});
       }
@@ -129,13 +129,13 @@
       const bool away = std::bernoulli_distribution(of_.day_.failing)(of_.chance_);
       events_.push_back({of_.now_ + 60 * kMs, seq, attempt, reads, away, reads || away ? 0 : 1});
     }
-    void let_go(int) override {}
+    void release(int) override {}
     void cancel(int, int) override {}
     void reject(int, Nanos) override { ++of_.rejected_; }
     void abort(int) override { ++of_.rejected_; }
     void subscribe() override {}
-    void wake(Nanos) override {}
-    void forget_sequence(int seq) override { free_.push_back(seq); }
+    void request_wakeup(Nanos) override {}
+    void forget_request(int seq) override { free_.push_back(seq); }
     void forget_worker(int) override {}
 
    private:
@@ -152,11 +152,11 @@
     const double warm = rate_ / (0.6 * kOfRole);  // what it does a second when warm
     double least = 1e9;
     for (Nanos end = 10'000 * kMs; end <= 22'000 * kMs; end += 50 * kMs) {
-      const Nanos begin = std::max<Nanos>(10'000 * kMs, end - deployment_.fall_span);
+      const Nanos begin = std::max<Nanos>(10'000 * kMs, end - deployment_.overload_window);
       double allowed = 0;
-      for (Nanos t = end - deployment_.fall_span; t < end; t += 50 * kMs) {
+      for (Nanos t = end - deployment_.overload_window; t < end; t += 50 * kMs) {
         const double climbed = std::clamp(static_cast<double>(t - 10'000 * kMs) / 12e9, 0.0, 1.0);
-        allowed += deployment_.fall_multiple * (0.25 + 0.75 * climbed * climbed) * warm * 0.05;
+        allowed += deployment_.overload_factor * (0.25 + 0.75 * climbed * climbed) * warm * 0.05;
       }
       const auto came = std::ranges::count_if(got, [&](Nanos at) { return at >= begin && at < end; });
       least = std::min(least, allowed + 2 * std::sqrt(allowed) + 2 - static_cast<double>(came));
@@ -167,7 +167,7 @@
   Day day_;
   std::mt19937 chance_;
   std::mt19937_64 seeds_;  // a router's is 64 bits of chance, as the platform hands it
-  Deployment deployment_;
+  PolicySettings deployment_;
   Nanos now_{};
   double rate_{};
   long came_{};
--- a/tests/soak_cue_test.cpp
+++ b/tests/soak_cue_test.cpp
@@ -20,7 +20,7 @@
   sender.send(Cue::before_prefill_answer, "c1");
   sender.send(Cue::after_prefill_answer, "c1");
   sender.send(Cue::after_decode_answer, "c2");
-  const io::Nanos began = loop.fresh_now();
+  const io::Nanos began = loop.update_now();
   loop.run_until([&] { return heard.size() >= 3 || loop.now() > began + 20 * io::kMs; });
   CHECK(heard == std::vector<std::string>{"pc1", "Pc1", "Dc2"});
 }
--- a/tests/spoilt_answer_test.cpp
+++ b/tests/spoilt_answer_test.cpp
@@ -19,7 +19,7 @@
 struct Spoilt {
   std::string name;
   std::string text;
-  Act::Then then{Act::Then::hold};
+  ScriptedResponse::Finish then{ScriptedResponse::Finish::hang};
   std::string later{};
   io::Nanos behind{};
   bool silent{};  // nothing of it tells that the prefill has ended
@@ -32,7 +32,7 @@
     "HTTP/1.1 202 Accepted\r\ntransfer-encoding: chunked\r\n\r\n5\r\n{\"cac\r\n";
 const std::string kGarbage = "\x16\x03\x01 no http at all\r\n\r\n";
 
-std::string done() { return http::response_text(202, "", kRead, true); }
+std::string done() { return http::format_response(202, "", kRead, true); }
 
 // Each of them on a connection that stays open, is closed in order, or is reset.
 std::vector<Spoilt> cut_short() {
@@ -52,16 +52,17 @@
       {"garbage without a line's end", std::string(64, '\x7f'), true},
       {"1xx", "HTTP/1.1 100 Continue\r\n\r\n", true},
       {"1xx and half a head", "HTTP/1.1 103 Early Hints\r\n\r\n" + kHalfHead, true},
-      {"a stream", Worker::stream_head() + Worker::framed(Worker::event(0))},
-      {"a whole stream",
-       Worker::stream_head() + Worker::framed(Worker::event(0) + Worker::ending()) + "0\r\n\r\n"},
+      {"a stream", FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0))},
+      {"a whole stream", FakeWorker::stream_head() +
+                             FakeWorker::chunked(FakeWorker::event(0) + FakeWorker::stream_end()) +
+                             "0\r\n\r\n"},
       {"a head alone", "HTTP/1.1 202 Accepted\r\n\r\n"},
   };
   std::vector<Spoilt> out;
   for (const auto& [name, text, silent] : texts) {
-    out.push_back({name + ", open", text, Act::Then::hold, "", 0, silent});
-    out.push_back({name + ", closed", text, Act::Then::close});
-    out.push_back({name + ", reset", text, Act::Then::reset});
+    out.push_back({name + ", open", text, ScriptedResponse::Finish::hang, "", 0, silent});
+    out.push_back({name + ", closed", text, ScriptedResponse::Finish::close});
+    out.push_back({name + ", reset", text, ScriptedResponse::Finish::reset});
   }
   return out;
 }
@@ -69,20 +70,21 @@
 // Whole answers that say something else than what happened, but for those that promise that nothing ran.
 std::vector<Spoilt> wrong() {
   std::vector<Spoilt> out{
-      {"202, unreadable body", http::response_text(202, "", "\xff{]no json", true), Act::Then::keep},
-      {"202, empty body", http::response_text(202, "", "", true), Act::Then::keep},
-      {"two answers in one", done() + done(), Act::Then::keep},
-      {"an answer and garbage", done() + kGarbage, Act::Then::keep},
-      {"a second answer 20 ms late", done(), Act::Then::keep, done(), 20 * kMs},
-      {"a second answer 70 ms late", done(), Act::Then::keep, done(), 70 * kMs},
-      {"1xx and the answer", "HTTP/1.1 100 Continue\r\n\r\n" + done(), Act::Then::keep},
+      {"202, unreadable body", http::format_response(202, "", "\xff{]no json", true),
+       ScriptedResponse::Finish::keep_alive},
+      {"202, empty body", http::format_response(202, "", "", true), ScriptedResponse::Finish::keep_alive},
+      {"two answers in one", done() + done(), ScriptedResponse::Finish::keep_alive},
+      {"an answer and garbage", done() + kGarbage, ScriptedResponse::Finish::keep_alive},
+      {"a second answer 20 ms late", done(), ScriptedResponse::Finish::keep_alive, done(), 20 * kMs},
+      {"a second answer 70 ms late", done(), ScriptedResponse::Finish::keep_alive, done(), 70 * kMs},
+      {"1xx and the answer", "HTTP/1.1 100 Continue\r\n\r\n" + done(), ScriptedResponse::Finish::keep_alive},
   };
   for (const int status : {200, 204, 302, 304, 400, 404, 409, 410, 413, 429, 500, 502, 503, 504})
     for (const bool rejected : {false, true}) {
       if (rejected && (status == 503 || status == 504)) continue;  // the protocol: it never ran
       out.push_back({fmt::format("{}{}", status, rejected ? " with X-Rejected" : ""),
-                     http::response_text(status, rejected ? "X-Rejected: 1\r\n" : "", "", true),
-                     Act::Then::keep});
+                     http::format_response(status, rejected ? "X-Rejected: 1\r\n" : "", "", true),
+                     ScriptedResponse::Finish::keep_alive});
     }
   return out;
 }
@@ -105,7 +107,7 @@
                        all);
   }
   json settings() const {
-    json out = with_limit(limit_ms, parallel, cancelling);
+    json out = settings_with_hold_limit(limit_ms, parallel, cancelling);
     out["caps"]["attemptsCap"] = attempts_cap;
     out["services"][0]["effect"] = effect;
     out["services"][0]["windowMs"] = 2000.0;
@@ -127,57 +129,60 @@
                   take(Setting{limit_ms, cap, parallel, cancelling, effect, slow, client, all});
 }
 
-void prefills_act(Site& s, const Act& act, std::size_t times) {
+void prefills_act(PlatformFixture& s, const ScriptedResponse& act, std::size_t times) {
   for (auto& w : s.workers)
-    if (w->reads) w->acts.assign(times, act);
+    if (w->is_prefill) w->script.assign(times, act);
 }
 
 // What takes longer than the limit may be voided.
-void learn_slow(Site& s, int limit_ms) {
+void learn_slow(PlatformFixture& s, int limit_ms) {
   constexpr int kRequests = 6;
-  prefills_act(s, {"", Act::Then::keep, std::min(kSlowPrefillMs, limit_ms) * kMs, true}, kRequests);
-  for (int i = 0; i < kRequests; ++i) s.send(fmt::format("slow{}", i), Site::call(fmt::format("s{}", i)));
-  for (int i = 0; i < kRequests; ++i) s.answer(fmt::format("slow{}", i));
+  prefills_act(s, {"", ScriptedResponse::Finish::keep_alive, std::min(kSlowPrefillMs, limit_ms) * kMs, true},
+               kRequests);
+  for (int i = 0; i < kRequests; ++i)
+    s.send(fmt::format("slow{}", i), PlatformFixture::request(fmt::format("s{}", i)));
+  for (int i = 0; i < kRequests; ++i) s.response(fmt::format("slow{}", i));
   prefills_act(s, {}, 0);
-  s.pass(100);
+  s.run_for(100);
 }
 
-void client_stays(Site& s, const std::string& request) {
+void client_stays(PlatformFixture& s, const std::string& request) {
   s.send("a1", request);
-  s.pass(kBudgetMs + kAnswerSlackMs);
-  REQUIRE(s.all["a1"].size() == 1);
-  CHECK(s.all["a1"].front().whole);
+  s.run_for(kBudgetMs + kAnswerSlackMs);
+  REQUIRE(s.responses["a1"].size() == 1);
+  CHECK(s.responses["a1"].front().complete);
 }
 
-void client_goes(Site& s, const std::string& request, Client how) {
+void client_goes(PlatformFixture& s, const std::string& request, Client how) {
   RawClient client(s.node->address());
   client.write(request);
-  s.pass(how == Client::leaves ? 700 : 30);
-  how == Client::leaves ? client.close() : client.end_sending();
-  s.pass(kBudgetMs + kAnswerSlackMs);
+  s.run_for(how == Client::leaves ? 700 : 30);
+  how == Client::leaves ? client.close() : client.shutdown_write();
+  s.run_for(kBudgetMs + kAnswerSlackMs);
 }
 
 void play(const Spoilt& spoilt, const Setting& setting) {
   CAPTURE(spoilt.name);
   CAPTURE(setting.text());
   constexpr std::size_t kMostAttempts = 40;
-  Site s(2, 2, setting.settings());
-  warm(s);
+  PlatformFixture s(2, 2, setting.settings());
+  warm_up(s);
   if (setting.slow) learn_slow(s, setting.limit_ms);
-  const Act act{.text = spoilt.text,
-                .then = spoilt.then,
-                .after = kPrefill,
-                .leaves = true,
-                .later = spoilt.later,
-                .behind = spoilt.behind};
+  const ScriptedResponse act{.response = spoilt.text,
+                             .finish = spoilt.then,
+                             .delay = kPrefill,
+                             .leaves_kv = true,
+                             .late_response = spoilt.later,
+                             .late_delay = spoilt.behind};
   prefills_act(s, act, setting.all ? kMostAttempts : 1);
-  HoldWatch watch(s, HoldWatch::While::unattended);
-  const std::string request = Site::call("a1", Site::prompt(), std::to_string(kBudgetMs));
+  KvHoldMonitor watch(s, KvHoldMonitor::Measure::unattended);
+  const std::string request =
+      PlatformFixture::request("a1", PlatformFixture::request_body(), std::to_string(kBudgetMs));
   setting.client == Client::stays ? client_stays(s, request) : client_goes(s, request, setting.client);
-  s.pass(setting.limit_ms + 1500);
-  check_held(watch, setting.limit_ms * kMs);
-  CHECK(s.states.empty());
-  CHECK(s.node->host().live() == 0);
+  s.run_for(setting.limit_ms + 1500);
+  check_longest_hold(watch, setting.limit_ms * kMs);
+  CHECK(s.kv_entries.empty());
+  CHECK(s.node->host().live_requests() == 0);
   CHECK(s.node->host().invariants().violations() == 0);
 }
 
@@ -196,7 +201,8 @@
   for (const int status : {400, 404})
     for (const int limit_ms : {300, 1000})
       for (const Client client : {Client::stays, Client::ends_sending, Client::leaves})
-        play({std::to_string(status), http::response_text(status, "", "", true), Act::Then::keep},
+        play({std::to_string(status), http::format_response(status, "", "", true),
+              ScriptedResponse::Finish::keep_alive},
              {limit_ms, 6, true, true, "retryable", false, client, true});
 }
 
@@ -206,7 +212,7 @@
   for (const Spoilt& spoilt : cut_short())
     for (const int limit_ms : {300, 500, 1000})
       for (const bool cancelling : {true, false})
-        if (!spoilt.silent && spoilt.then == Act::Then::hold)
+        if (!spoilt.silent && spoilt.then == ScriptedResponse::Finish::hang)
           play(spoilt, {limit_ms, 4, cancelling, cancelling, "retryable", true, Client::stays, false});
 }
 
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -18,30 +18,31 @@
 constexpr Nanos kMs = 1'000'000;
 
 // Two readers (workers 0 and 1) and two writers (2 and 3), one zone, nothing reported unless a test says so.
-inline Deployment small_deployment() {
-  Deployment d;
+inline PolicySettings small_deployment() {
+  PolicySettings d;
   d.types.push_back({Effect::repeatable, Group::all, 0, 1500 * kMs, 40 * kMs, 1});
-  d.kinds = {{Role::reader, 200'000}, {Role::writer, 100'000}};
+  d.kinds = {{Role::prefill, 200'000}, {Role::decode, 100'000}};
   d.routers = 1;
   d.tick = 2 * kMs;
-  d.attempts_cap = 6;
-  d.cancelling = d.second_copies = true;
+  d.max_attempts = 6;
+  d.can_cancel = d.allow_parallel_attempts = true;
   d.max_retry_after = 500 * kMs;
-  d.pin_limit = 500 * kMs;
-  d.cold_from = 0.25;
+  d.kv_hold_limit = 500 * kMs;
+  d.cold_start_capacity = 0.25;
   d.ramp_time = 10'000 * kMs;
-  d.fall_multiple = 2.5;
-  d.fall_span = 1'500 * kMs;
+  d.overload_factor = 2.5;
+  d.overload_window = 1'500 * kMs;
   return d;
 }
 
 class Trace final : public Actions {
  public:
-  explicit Trace(std::string name, const Deployment& d = small_deployment(), int readers = 2, int writers = 2)
+  explicit Trace(std::string name, const PolicySettings& d = small_deployment(), int readers = 2,
+                 int writers = 2)
       : name_(std::move(name)), policy_(make_policy(d, 7, 0, *this)) {
     policy_->list_begins(0, true);
     for (int w = 0; w < readers + writers; ++w)
-      policy_->worker_listed(w, static_cast<std::uint64_t>(w), Standing::ready, 0, w < readers ? 0 : 1,
+      policy_->worker_listed(w, static_cast<std::uint64_t>(w), WorkerStatus::ready, 0, w < readers ? 0 : 1,
                              d.zone, 0);
     policy_->list_ends();
   }
@@ -58,15 +59,15 @@
   void until(int ms) {
     while (now_ + 10 * kMs <= ms * kMs) {
       now_ += 10 * kMs;
-      policy_->woke(now_);
+      policy_->on_wakeup(now_);
     }
     now_ = ms * kMs;
   }
   void came(int seq, std::uint64_t session, double prompt, int abandon_in_ms = 6000,
             std::uint64_t beginning = 0, double beginning_tokens = 0, int type = 0, int tenant = 0) {
     line() << "sequence " << seq << " came: " << prompt << " tokens, session " << session << '\n';
-    policy_->sequence_came(now_, seq, type, tenant, session, beginning, prompt, beginning_tokens, 200,
-                           now_ + abandon_in_ms * kMs);
+    policy_->request_arrived(now_, seq, type, tenant, session, beginning, prompt, beginning_tokens, 200,
+                             now_ + abandon_in_ms * kMs);
   }
   void ended(int seq, int attempt, Outcome outcome, double kept = 0, double memory_share = -1,
              double sequences = -1) {
@@ -74,22 +75,22 @@
                                         "no state",  "timed out", "connect failed", "connection lost",
                                         "cancelled", "not sent"};
     line() << "attempt " << seq << "." << attempt << " ended: " << words[static_cast<int>(outcome)] << '\n';
-    Report report;
-    report.heard = memory_share >= 0 || sequences >= 0;
+    LoadReport report;
+    report.received = memory_share >= 0 || sequences >= 0;
     report.memory_share = memory_share;
-    report.sequences = sequences;
+    report.requests = sequences;
     policy_->attempt_ended(now_, seq, attempt, outcome, now_ - sent_at_, outcome == Outcome::generated, kept,
                            report);
   }
   void began(int seq, int attempt) {
     line() << "stream " << seq << "." << attempt << " began\n";
-    policy_->stream_began(now_, seq, attempt, 50 * kMs);
+    policy_->stream_started(now_, seq, attempt, 50 * kMs);
   }
   void left(int seq) {
     line() << "client of " << seq << " left\n";
     policy_->client_left(now_, seq);
   }
-  void listed(int worker, Standing standing, int kind, Nanos started = 0, int cell = 0, int zone = 0) {
+  void listed(int worker, WorkerStatus standing, int kind, Nanos started = 0, int cell = 0, int zone = 0) {
     static const char* const words[] = {"gone", "ready", "draining"};
     line() << "worker " << worker << " listed " << words[static_cast<int>(standing)]
            << (started > 0 ? ", just started" : "") << '\n';
@@ -101,7 +102,7 @@
   void read(int seq, std::uint64_t session, double prompt, int ms, double kept = 0) {
     came(seq, session, prompt);
     until(now_ms() + ms);
-    ended(seq, 0, Outcome::read_done, kept);
+    ended(seq, 0, Outcome::prefill_done, kept);
   }
   // One sequence from first to last, in 150 ms, over whichever workers are chosen.
   void whole(int seq, std::uint64_t session, double prompt, double kept = 0) {
@@ -115,18 +116,18 @@
   void send(int seq, int worker, AttemptLimits limits) override {
     sent_at_ = now_;
     line() << "  send " << seq << " to " << worker << ", time-out " << limits.timeout / kMs << " ms";
-    if (limits.begin_by != kNever) text_ << ", begun by " << limits.begin_by / kMs << " ms";
+    if (limits.write_deadline != kNever) text_ << ", begun by " << limits.write_deadline / kMs << " ms";
     text_ << "\n";
   }
-  void let_go(int seq) override { line() << "  let go of " << seq << '\n'; }
+  void release(int seq) override { line() << "  let go of " << seq << '\n'; }
   void cancel(int seq, int attempt) override { line() << "  cancel " << seq << "." << attempt << '\n'; }
   void reject(int seq, Nanos after) override {
     line() << "  reject " << seq << (after > 0 ? ", come back later" : "") << '\n';
   }
   void abort(int seq) override { line() << "  abort " << seq << '\n'; }
   void subscribe() override { line() << "  subscribe\n"; }
-  void wake(Nanos) override {}
-  void forget_sequence(int seq) override { line() << "  forget " << seq << '\n'; }
+  void request_wakeup(Nanos) override {}
+  void forget_request(int seq) override { line() << "  forget " << seq << '\n'; }
   void forget_worker(int worker) override { line() << "  forget worker " << worker << '\n'; }
 
  private:
