--- a/programs/cost.cpp
+++ b/programs/cost.cpp
@@ -100,8 +100,8 @@
                                 c.copied, c.calls);
   if (c.instructions > 0) out += fmt::format("{:>14.0f}", c.instructions);
   out += "  ";
-  for (std::size_t i = 0; i < io::kCalls; ++i)
-    if (c.by_name[i] > 0.005) out += fmt::format(" {} {:.1f}", io::kCallNames[i], c.by_name[i]);
+  for (std::size_t i = 0; i < io::kSystemCallCount; ++i)
+    if (c.by_name[i] > 0.005) out += fmt::format(" {} {:.1f}", io::kSystemCallNames[i], c.by_name[i]);
   return out + "\n";
 }
 
