--- a/benchmarks/structures.cpp
+++ b/benchmarks/structures.cpp
@@ -104,15 +104,15 @@
 BENCHMARK(timers_tree)->Arg(100)->Arg(5'000)->Arg(100'000);
 BENCHMARK(timers_queue)->Arg(100)->Arg(5'000)->Arg(100'000);
 
-// Frames: three nested awaits an event, of the sizes that the path has.
+// FrameAllocator: three nested awaits an event, of the sizes that the path has.
 
 constexpr std::size_t kFrames[] = {320, 264, 200};
 
 void frames_used_again(benchmark::State& state) {
   for (auto _ : state) {
     void* taken[3];
-    for (int i = 0; i < 3; ++i) benchmark::DoNotOptimize(taken[i] = io::Frames::take(kFrames[i]));
-    for (int i = 2; i >= 0; --i) io::Frames::give(taken[i], kFrames[i]);
+    for (int i = 0; i < 3; ++i) benchmark::DoNotOptimize(taken[i] = io::FrameAllocator::allocate(kFrames[i]));
+    for (int i = 2; i >= 0; --i) io::FrameAllocator::deallocate(taken[i], kFrames[i]);
   }
 }
 void frames_heap(benchmark::State& state) {
