--- a/src/deployment.h
+++ b/src/deployment.h
@@ -1,4 +1,4 @@
-// What a router is told of its deployment when it starts. Filled once, by whoever hosts the decisions.
+// The settings of a routing policy. Whoever hosts the policy fills them in once, at start.
 #pragma once
 
 #include <vector>
@@ -10,20 +10,20 @@
 struct TrafficType {
   Effect effect{};
   Group group{};
-  Nanos window{};               // how long a tokened repeat is recognised
+  Nanos window{};               // how long a repeat of a tokened request is recognised
   Nanos slo{};                  // latency SLO for an empty prompt
-  Nanos slo_per_1000_tokens{};  // added to it for each thousand prompt tokens
+  Nanos slo_per_1000_tokens{};  // added for each thousand prompt tokens
   double utility{};
 };
 
 struct WorkerKind {
   Role role{};
-  double memory_tokens{};  // 0 where it is not told
+  double memory_tokens{};  // 0: not configured
 };
 
 struct PolicySettings {
   std::vector<TrafficType> types;
-  std::vector<double> tenant_rates;  // sequences a second within a tenant's share, all routers together
+  std::vector<double> tenant_rates;  // requests per second within a tenant's share, over all routers
   std::vector<WorkerKind> kinds;
   int routers{};
   int zone{};
@@ -33,12 +33,12 @@
   bool allow_parallel_attempts{};
   bool send_retry_after{};
   Nanos max_retry_after{};
-  bool needs_subscription{};  // the list comes only to those that subscribe
+  bool needs_subscription{};  // the worker list is sent only to subscribers
   Nanos subscription_lifetime{};
   double cross_zone_price{};
   Nanos kv_hold_limit{};
-  double cold_start_capacity{};
-  Nanos ramp_time{};
+  double cold_start_capacity{};  // share of the capacity that a worker has when it starts
+  Nanos ramp_time{};             // until a started worker has its full capacity
   double overload_factor{};
   Nanos overload_window{};
 };
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,9 +1,18 @@
-// The decisions of cressrill, all of them. A host makes one Policy for each router by make_policy() and calls
-// it once for every input; decisions come back through Actions before the call returns. Both interfaces stand
-// in policy.h, the plain state in state.h, what is read at start in deployment.h.
+// The routing policy: it decides which worker gets each attempt, and when to queue, retry, reject or release.
+// A host creates one Policy per router with make_policy() and calls it once per input; the decisions are
+// passed to Actions before the call returns. policy.h declares both interfaces, state.h the state,
+// deployment.h the settings.
 //
-// After every input the two rule lists below are gone through in order until none fires. DESIGN: ordinary
-// path as in docs/design.md; everything else here guards it.
+// After every input, run() applies the two rule lists below until no rule applies. The ordinary path follows
+// docs/design.md; a comment says "Guards against" where code protects that path, and "Differs from the
+// design" where it departs from it.
+//
+// The obligations that comments refer to by number:
+//   rule 1  a request is answered before its deadline
+//   rule 2  a request that may have run is repeated only as its traffic type allows
+//   rule 3  a worker that drains or is gone gets no new work
+//   rule 4  a worker in slow start gets no more load than it can take
+//   rule 5  KV cache is held no longer than the limit
 #include "policy.h"
 
 #include <algorithm>
@@ -17,175 +26,235 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1'000 * kMs;
-constexpr Nanos kPulse = 10 * kMs;        // rules that wait for a time are looked at this often
-constexpr Nanos kKeptFor = 60 * kSecond;  // a holder entry lapses: about a session's life
-constexpr Nanos kMemory = 10 * kSecond;   // decay of what is learned: long against a read and an answer
-constexpr Nanos kReportLife = kSecond;    // an older load report says no more than the average
-constexpr double kFirstRate = 10'000;     // tokens read a second, until answers tell,
-constexpr double kPriorTokens = 1'000;    // given the weight of one short read
-constexpr double kPriorSeconds = 0.2;     // and a reader's own speed that of reads of so long
-constexpr double kNear = 0.1;             // holders tie within this share of the read's time
-constexpr double kTieBand = 0.25;         // writers tie within this share of their memory
-constexpr double kRoom = 0.92;            // fuller writers push their newest answers back into the queue
-constexpr double kOthersRead = 0.5;   // of what others hold at a reader, half is read and waits for its fetch
-constexpr double kSmooth = 0.1;       // weight of a new sample in a smoothed wait
-constexpr Nanos kHeldUp = 120 * kMs;  // a send may be held up so long past the rules' own slack of 50 ms
-constexpr double kLate = 3;           // an attempt is late past this multiple of what it should take,
-constexpr Nanos kGrace = 250 * kMs;   // and this much: a pause, a lost packet, a handshake
-constexpr Nanos kFullRest =
-    150 * kMs;                     // one that said full or was not reached is let be: about an answer's end
-constexpr double kStrikesOut = 2;  // failures less than one success apart
-constexpr Nanos kAside = 2 * kSecond;  // time set aside, plus a random part up to
-constexpr Nanos kAsideSpread = kSecond;
-constexpr double kFirstLimit = 8;  // in flight before the first token, per router; grows by one
-constexpr double kLeastLimit = 1;  // a router, and a reader over all routers; fewer would idle readers
-constexpr double kCut = 0.7;       // and is cut by a share, at most once in
-constexpr Nanos kCutEvery = 500 * kMs;
-constexpr double kPatience = 0.2;      // share of the latency SLO that a sequence may wait in line
-constexpr double kPart = 0.5;          // share of it that may pass from the read's start to the first token
-constexpr double kStrainWeight = 0.2;  // of a new sample: some answers tell, not one
-constexpr double kHomes = 8;           // readers that share a beginning: a hot one must fit, all must be kept
-constexpr double kHomeTrust = 0.8;     // of what only its session has, believed to be kept at its home
-constexpr double kOddSpeed = 2;    // a reader is as fast as the others within this factor: waits are noise
-constexpr double kColdCare = 0.5;  // share of the cold budget that is used: others guess too
-
-double seconds(Nanos t) { return static_cast<double>(t) / static_cast<double>(kSecond); }
-Nanos nanos(double s) { return static_cast<Nanos>(s * static_cast<double>(kSecond)); }
-double decay(Nanos since, Nanos life = kMemory) { return std::exp(-seconds(since) / seconds(life)); }
-void smooth(double& value, double sample) { value += kSmooth * (sample - value); }
-void blend(RunningMean& m, double sample) {
-  m.samples += 1, m.value += std::max(kSmooth, 1 / m.samples) * (sample - m.value);
+// How often rules that depend on the time are evaluated.
+constexpr Nanos kTickInterval = 10 * kMs;
+// Life of an entry in the table of prefix holders: about that of a session.
+constexpr Nanos kPrefixHolderLifetime = 60 * kSecond;
+// Decay time of learned values: long compared with a prefill and an answer.
+constexpr Nanos kLearningDecayTime = 10 * kSecond;
+// Decay time of a load report; an older one says no more than the average.
+constexpr Nanos kLoadReportDecayTime = kSecond;
+// Speed and size of a prefill that are assumed until answers are measured, with the weight of one short
+// prefill.
+constexpr double kInitialTokensPerSecond = 10'000;
+constexpr double kInitialPrefillTokens = 1'000;
+// A prefill worker counts as being as fast as the fleet, with the weight of prefills that take this long.
+constexpr double kWorkerSpeedPriorSeconds = 0.2;
+// Prefix holders tie within this share of the prefill time.
+constexpr double kTieShareOfPrefillTime = 0.1;
+// Decode workers tie within this share of their memory.
+constexpr double kTieShareOfDecodeMemory = 0.25;
+// Decode workers that are fuller than this preempt their newest answers and queue them again.
+constexpr double kMaxDecodeMemoryShare = 0.92;
+// Share of other routers' requests at a prefill worker that still need their prefill; the rest wait to be
+// fetched.
+constexpr double kOthersQueuedShare = 0.5;
+// Weight of a new sample in a smoothed wait.
+constexpr double kSmoothingWeight = 0.1;
+// A send may be delayed by this much beyond the 50 ms that the rules themselves allow.
+constexpr Nanos kSendDelayMargin = 120 * kMs;
+// An attempt is overdue after this multiple of its expected duration plus the grace, which covers a pause, a
+// lost packet or a handshake.
+constexpr double kOverdueFactor = 3;
+constexpr Nanos kOverdueGrace = 250 * kMs;
+// No sends to a worker that was full or unreachable for about as long as an answer takes to end.
+constexpr Nanos kRejectionBackoff = 150 * kMs;
+// Failure score at which a worker is ejected. Each failure adds to the score and each success halves it.
+constexpr double kEjectionScore = 2;
+// Ejection time: a fixed part, plus a random part of up to kEjectionJitter.
+constexpr Nanos kEjectionTime = 2 * kSecond;
+constexpr Nanos kEjectionJitter = kSecond;
+// Requests in flight before their first token, per router. The limit grows by one per limit's worth of
+// answers.
+constexpr double kInitialInFlightLimit = 8;
+// Per router, and per prefill worker over all routers: a lower limit would leave prefill workers idle.
+constexpr double kMinInFlightLimit = 1;
+// The limit is reduced by this factor, at most once per interval.
+constexpr double kLimitReductionFactor = 0.7;
+constexpr Nanos kMinLimitReductionInterval = 500 * kMs;
+// Share of the latency SLO that a request may spend in the queue.
+constexpr double kQueueTimeShareOfSlo = 0.2;
+// Share of the latency SLO that may pass between the start of the prefill and the first token.
+constexpr double kFirstTokenShareOfSlo = 0.5;
+// Weight of a new sample in the latency pressure: several answers move it, a single one does not.
+constexpr double kPressureSampleWeight = 0.2;
+// Prefill workers that share a prefix: enough for the load of a popular one, and few enough that all prefixes
+// stay cached.
+constexpr double kPrefixReplicas = 8;
+// Share of the tokens beyond the shared prefix that a session's home worker is expected to have cached.
+constexpr double kHomeCachedShare = 0.8;
+// Speeds of prefill workers that differ by less than this factor count as equal: waits are noisy.
+constexpr double kSpeedNoiseFactor = 2;
+// Share of a cold worker's load budget that is used, as other routers estimate theirs too.
+constexpr double kColdBudgetShare = 0.5;
+
+double seconds(Nanos duration) { return static_cast<double>(duration) / static_cast<double>(kSecond); }
+Nanos nanos(double duration) { return static_cast<Nanos>(duration * static_cast<double>(kSecond)); }
+double decay(Nanos elapsed, Nanos decay_time = kLearningDecayTime) {
+  return std::exp(-seconds(elapsed) / seconds(decay_time));
+}
+void smooth(double& value, double sample) { value += kSmoothingWeight * (sample - value); }
+void add_sample(RunningMean& mean, double sample) {
+  mean.samples += 1;
+  mean.value += std::max(kSmoothingWeight, 1 / mean.samples) * (sample - mean.value);
 }
 
-class Router final : public Policy {
+class RoutingPolicy final : public Policy {
  public:
-  Router(const PolicySettings& deployment, std::uint64_t seed, Nanos now, Actions& actions)
-      : d_(deployment), out_(actions), now_(now) {
-    s_.random_state = seed, s_.random_increment = seed << 1 | 1;
-    s_.in_flight_limit = kFirstLimit;
-    s_.mean_prefill_tokens = kPriorTokens;
-    s_.mean_first_token_seconds = s_.mean_prefill_seconds = seconds(kGrace);
-    s_.tenant_arrivals.resize(d_.tenant_rates.size()), s_.tenant_updated_at.resize(d_.tenant_rates.size());
-    s_.subscribed_at = now - d_.subscription_lifetime;
+  RoutingPolicy(const PolicySettings& settings, std::uint64_t seed, Nanos now, Actions& actions)
+      : settings_(settings), actions_(actions), now_(now) {
+    state_.random_state = seed;
+    state_.random_increment = seed << 1 | 1;
+    state_.in_flight_limit = kInitialInFlightLimit;
+    state_.mean_prefill_tokens = kInitialPrefillTokens;
+    state_.mean_first_token_seconds = state_.mean_prefill_seconds = seconds(kOverdueGrace);
+    state_.tenant_arrivals.resize(settings_.tenant_rates.size());
+    state_.tenant_updated_at.resize(settings_.tenant_rates.size());
+    state_.subscribed_at = now - settings_.subscription_lifetime;
   }
 
   void list_begins(Nanos now, bool complete) override {
     now_ = now;
     if (complete)
-      for (Worker& w : s_.workers) w.status = WorkerStatus::gone;
-  }
-
-  void worker_listed(int worker, std::uint64_t identity, WorkerStatus standing, Nanos started, int kind,
-                     int zone, int cell) override {
-    if (worker >= static_cast<int>(s_.workers.size()))
-      s_.workers.resize(static_cast<std::size_t>(worker) + 1);
-    Worker& w = at(worker);
-    if (!w.known) {
-      w = {.known = true, .identity = identity, .started_at = started, .cache_valid_since = now_};
-      w.cold_since = started > 0 ? started : kNever;
-    } else if (started > w.started_at) {  // restarted: empty, cold, and whatever ailed it is gone
-      w.started_at = w.cache_valid_since = started;
-      if (w.cold_since == kNever || w.cold_since < started) w.cold_since = started;
-      if (w.ejected_until > now_) w.ejected_until = now_;
-      w.reported_memory_share = w.reported_requests = -1;
+      for (Worker& worker : state_.workers) worker.status = WorkerStatus::gone;
+  }
+
+  void worker_listed(int worker_index, std::uint64_t identity, WorkerStatus status, Nanos started_at,
+                     int kind, int zone, int cell) override {
+    if (worker_index >= static_cast<int>(state_.workers.size()))
+      state_.workers.resize(static_cast<std::size_t>(worker_index) + 1);
+    Worker& worker = worker_at(worker_index);
+    if (!worker.known) {
+      worker = {.known = true, .identity = identity, .started_at = started_at, .cache_valid_since = now_};
+      worker.cold_since = started_at > 0 ? started_at : kNever;
+    } else if (started_at > worker.started_at) {
+      // It has restarted: its cache is empty, it is cold, and earlier failures no longer count.
+      worker.started_at = worker.cache_valid_since = started_at;
+      if (worker.cold_since == kNever || worker.cold_since < started_at) worker.cold_since = started_at;
+      if (worker.ejected_until > now_) worker.ejected_until = now_;
+      worker.reported_memory_share = worker.reported_requests = -1;
     }
-    w.status = standing, w.kind = kind, w.zone = zone, w.cell = cell;
-    w.role = d_.kinds[static_cast<std::size_t>(kind)].role;
+    worker.status = status;
+    worker.kind = kind;
+    worker.zone = zone;
+    worker.cell = cell;
+    worker.role = settings_.kinds[static_cast<std::size_t>(kind)].role;
   }
 
   void list_ends() override {
-    s_.worker_counts = {};
-    for (int i = 0; i < static_cast<int>(s_.workers.size()); ++i) {
-      Worker& w = at(i);
-      if (w.status != WorkerStatus::gone) w.gone_since = 0;
-      if (w.known && w.status == WorkerStatus::gone) forget_gone(i);
-      if (!listed(w)) continue;
-      const std::size_t reads = w.role == Role::prefill;
-      s_.worker_counts.ready[reads].push_back(i);
-      ++s_.worker_counts.in_zone[reads][w.zone], ++s_.worker_counts.in_cell[reads][w.zone][w.cell];
+    state_.worker_counts = {};
+    for (int i = 0; i < static_cast<int>(state_.workers.size()); ++i) {
+      Worker& worker = worker_at(i);
+      if (worker.status != WorkerStatus::gone) worker.gone_since = 0;
+      if (worker.known && worker.status == WorkerStatus::gone) forget_gone_worker(i);
+      if (!is_ready(worker)) continue;
+      const std::size_t role_index = worker.role == Role::prefill;
+      state_.worker_counts.ready[role_index].push_back(i);
+      ++state_.worker_counts.in_zone[role_index][worker.zone];
+      ++state_.worker_counts.in_cell[role_index][worker.zone][worker.cell];
     }
-    while (!s_.queue.empty()) unparked(s_.queue.back());
+    while (!state_.queue.empty()) unpark(state_.queue.back());
     run();
   }
 
-  void list_failed(Nanos now) override { now_ = now; }  // it is asked for again in time
-  void request_arrived(Nanos now, int seq, int type, int tenant, std::uint64_t session,
-                       std::uint64_t beginning, double prompt, double beginning_tokens, double max_out,
-                       Nanos abandon_at) override {
+  void list_failed(Nanos now) override { now_ = now; }  // run() subscribes again in time
+  void request_arrived(Nanos now, int request_index, int type, int tenant, std::uint64_t session,
+                       std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
+                       double max_output_tokens, Nanos deadline) override {
     now_ = now;
-    if (seq >= static_cast<int>(s_.requests.size())) s_.requests.resize(static_cast<std::size_t>(seq) + 1);
-    RequestState& q = s_.requests[static_cast<std::size_t>(seq)];
-    const TrafficType& t = d_.types[static_cast<std::size_t>(type)];
-    q = RequestState{};
-    q.id = seq, q.type = type, q.within_tenant_share = take_share(tenant), q.admission_draw = chance();
-    q.session = session, q.prefix_hash = beginning, q.prefix_tokens = beginning_tokens;
-    q.prompt_tokens = prompt, q.max_output_tokens = max_out, q.arrived_at = now, q.deadline = abandon_at;
-    q.slo_deadline = now + t.slo + nanos(prompt / 1000 * seconds(t.slo_per_1000_tokens));
-    q.kv_held_since = kNever;
-    q.uncached_tokens = to_read(q);
-    q.arrival_order = s_.arrivals++;
-    s_.active.push_back(seq);
+    if (request_index >= static_cast<int>(state_.requests.size()))
+      state_.requests.resize(static_cast<std::size_t>(request_index) + 1);
+    RequestState& request = state_.requests[static_cast<std::size_t>(request_index)];
+    const TrafficType& traffic_type = settings_.types[static_cast<std::size_t>(type)];
+    request = RequestState{};
+    request.id = request_index;
+    request.type = type;
+    request.within_tenant_share = take_tenant_share(tenant);
+    request.admission_draw = random();
+    request.session = session;
+    request.prefix_hash = prefix_hash;
+    request.prefix_tokens = prefix_tokens;
+    request.prompt_tokens = prompt_tokens;
+    request.max_output_tokens = max_output_tokens;
+    request.arrived_at = now;
+    request.deadline = deadline;
+    request.slo_deadline =
+        now + traffic_type.slo + nanos(prompt_tokens / 1000 * seconds(traffic_type.slo_per_1000_tokens));
+    request.kv_held_since = kNever;
+    request.uncached_tokens = uncached_tokens(request);
+    request.arrival_order = state_.arrivals++;
+    state_.active.push_back(request_index);
     run();
   }
 
-  void client_left(Nanos now, int seq) override {
+  void client_left(Nanos now, int request_index) override {
     now_ = now;
-    finish(unparked(seq));
+    finish(unpark(request_index));
     run();
   }
 
-  void stream_started(Nanos now, int seq, int attempt, Nanos took) override {
+  void stream_started(Nanos now, int request_index, int attempt_index, Nanos elapsed) override {
     now_ = now;
-    RequestState& q = unparked(seq);
-    Attempt& a = q.attempts[static_cast<std::size_t>(attempt)];
-    Worker& w = at(a.worker);
-    --w.pending_attempts, ++s_.recent_answers[0];
-    a.stream_started = true,
-    a.abandoned = false;  // it began after all: if it breaks, an answer is still owed
-    answered(w), state_gone(q);
-    smooth(s_.mean_first_token_seconds, seconds(took));
-    if (q.stage == Stage::finished) return run();
-    // Guards against queues that build where no one says full (prompts not kept any more, long answers, lost
-    // workers): what is sent should stream within its part of the latency SLO, the rest is for the line.
-    s_.latency_pressure +=
-        kStrainWeight *
-        (seconds(now - q.dequeued_at) / seconds(q.slo_deadline - q.arrived_at) - s_.latency_pressure);
-    if (s_.latency_pressure > kPart)
-      cut_limit();
-    else if (in_flight() * 2 >= s_.in_flight_limit)
-      s_.in_flight_limit += 1 / s_.in_flight_limit;  // by one for each limit's worth
-    enter(q, Stage::streaming);
+    RequestState& request = unpark(request_index);
+    Attempt& attempt = request.attempts[static_cast<std::size_t>(attempt_index)];
+    Worker& worker = worker_at(attempt.worker);
+    --worker.pending_attempts;
+    ++state_.recent_answers[0];
+    attempt.stream_started = true;
+    // Even if the attempt had been abandoned: should its stream break, the client still needs an answer.
+    attempt.abandoned = false;
+    record_success(worker);
+    clear_kv_held(request);
+    smooth(state_.mean_first_token_seconds, seconds(elapsed));
+    if (request.stage == Stage::finished) return run();
+    // Guards against queues that build up at workers that never report being full (prompts that are no longer
+    // cached, long answers, lost workers): a request that is sent should stream within its part of the
+    // latency SLO, and further requests wait in the queue.
+    state_.latency_pressure +=
+        kPressureSampleWeight *
+        (seconds(now - request.dequeued_at) / seconds(request.slo_deadline - request.arrived_at) -
+         state_.latency_pressure);
+    if (state_.latency_pressure > kFirstTokenShareOfSlo)
+      reduce_in_flight_limit();
+    else if (in_flight() * 2 >= state_.in_flight_limit)
+      state_.in_flight_limit += 1 / state_.in_flight_limit;  // one more per limit's worth of answers
+    set_stage(request, Stage::streaming);
     run();
   }
 
-  void attempt_ended(Nanos now, int seq, int attempt, Outcome outcome, Nanos took, bool closed, double kept,
-                     const LoadReport& report) override {
+  void attempt_ended(Nanos now, int request_index, int attempt_index, Outcome outcome, Nanos elapsed,
+                     bool closed, double cached_tokens, const LoadReport& report) override {
     now_ = now;
-    RequestState& q = unparked(seq);
-    Attempt& a = q.attempts[static_cast<std::size_t>(attempt)];
-    Worker& w = at(a.worker);
-    a.outstanding = false;
-    if (!a.stream_started) --w.pending_attempts;
-    double& load = a.is_prefill ? w.prefill_tokens : w.decode_tokens;
-    load = std::max(0.0, load - a.load_tokens);
-    const bool silent = w.last_heard < a.sent_at;
-    a.rejected_or_timed_out = outcome == Outcome::full || outcome == Outcome::timed_out;
-    if (report.received) note_report(w, report);
-    judge(w, outcome, silent, a.abandoned);
-    watch(a.worker);
-    if (outcome == Outcome::prefill_done) read_ended(q, a, w, took, kept);
-    // What was late would have taken so long at least: unlearned, time-outs stay too short in a jam.
-    if (outcome == Outcome::timed_out && !a.is_prefill) smooth(s_.mean_first_token_seconds, seconds(took));
-    if (outcome == Outcome::timed_out && a.is_prefill) learn_late_read(a, w, seconds(took));
+    RequestState& request = unpark(request_index);
+    Attempt& attempt = request.attempts[static_cast<std::size_t>(attempt_index)];
+    Worker& worker = worker_at(attempt.worker);
+    attempt.outstanding = false;
+    if (!attempt.stream_started) --worker.pending_attempts;
+    double& load = attempt.is_prefill ? worker.prefill_tokens : worker.decode_tokens;
+    load = std::max(0.0, load - attempt.load_tokens);
+    const bool silent = worker.last_heard < attempt.sent_at;
+    attempt.rejected_or_timed_out = outcome == Outcome::full || outcome == Outcome::timed_out;
+    if (report.received) record_report(worker, report);
+    record_outcome(worker, outcome, silent, attempt.abandoned);
+    watch(attempt.worker);
+    if (outcome == Outcome::prefill_done) record_prefill(request, attempt, worker, elapsed, cached_tokens);
+    // A timed-out attempt would have taken at least this long. If it were not learned, time-outs would stay
+    // too short under congestion.
+    if (outcome == Outcome::timed_out && !attempt.is_prefill)
+      smooth(state_.mean_first_token_seconds, seconds(elapsed));
+    if (outcome == Outcome::timed_out && attempt.is_prefill)
+      learn_from_late_prefill(attempt, worker, seconds(elapsed));
     if (outcome == Outcome::error || outcome == Outcome::timed_out || outcome == Outcome::connection_lost ||
         outcome == Outcome::cancelled)
-      (a.is_prefill ? a.may_have_left_kv : q.maybe_ran) = true;
-    if (outcome == Outcome::timed_out && !silent) cut_limit();
-    if (closed) finish(q);
-    if (q.stage != Stage::finished && !a.abandoned) go_back(q, a, outcome);
-    // Rule 5: while connections fail to come up, the time that a state may wait keeps running.
+      (attempt.is_prefill ? attempt.may_have_left_kv : request.maybe_ran) = true;
+    if (outcome == Outcome::timed_out && !silent) reduce_in_flight_limit();
+    if (closed) finish(request);
+    if (request.stage != Stage::finished && !attempt.abandoned)
+      retry_after_failure(request, attempt, outcome);
+    // Rule 5: an attempt that never reached its worker does not restart the time for which KV cache may be
+    // held.
     const bool reached = outcome != Outcome::connect_failed && outcome != Outcome::not_sent;
-    if (q.kv_held_since != kNever && reached) q.kv_held_since = now;
+    if (request.kv_held_since != kNever && reached) request.kv_held_since = now;
     run();
   }
 
@@ -194,758 +263,932 @@
     run();
   }
 
-  // A writer that is asked now would find no state, and a read that is out leaves none: the sequence is read anew. A write
-  // that is out may have the state yet.
-  void kv_released(Nanos now, int seq) override {
+  // A decode attempt sent now would find no KV cache, and an outstanding prefill will leave none, so the
+  // prefill is repeated. An outstanding decode attempt may still get the KV cache.
+  void kv_released(Nanos now, int request_index) override {
     now_ = now;
-    RequestState& q = unparked(seq);
-    state_gone(q);
-    if (q.stage == Stage::prefilling) learn_from_voided(q), stop_asking(q);
-    if (q.stage == Stage::prefilling || q.stage == Stage::prefilled) enter(q, Stage::queued);
+    RequestState& request = unpark(request_index);
+    clear_kv_held(request);
+    if (request.stage == Stage::prefilling) {
+      learn_from_voided_prefills(request);
+      abandon_attempts(request);
+    }
+    if (request.stage == Stage::prefilling || request.stage == Stage::prefilled)
+      set_stage(request, Stage::queued);
     run();
   }
   ExpectedLoad expected_load(int worker) const override {
-    return {at(worker).pending_attempts, at(worker).kv_entries};
+    return {worker_at(worker).pending_attempts, worker_at(worker).kv_entries};
   }
 
  private:
   template <class Subject>
   struct Rule {
-    bool (Router::*when)(const Subject&) const;
-    void (Router::*then)(Subject&);
+    bool (RoutingPolicy::*condition)(const Subject&) const;
+    void (RoutingPolicy::*action)(Subject&);
   };
 
   void run() {
     static constexpr std::array<Rule<Worker>, 2> worker_rules{{
-        {&Router::fell_silent, &Router::set_aside_and_leave},
-        {&Router::struck_out, &Router::set_aside},
+        {&RoutingPolicy::is_silent, &RoutingPolicy::eject_and_abandon_attempts},
+        {&RoutingPolicy::fails_too_often, &RoutingPolicy::eject},
     }};
-    static constexpr std::array<Rule<RequestState>, 8> sequence_rules{{
-        {&Router::still_asked, &Router::stop_asking},
-        {&Router::done_with, &Router::forget},
-        {&Router::nearly_abandoned, &Router::give_up},
-        {&Router::nearly_overdue, &Router::give_up},
-        {&Router::hopeless, &Router::give_up},
-        {&Router::ready_to_write, &Router::write},
-        {&Router::ready_to_read, &Router::read},
-        {&Router::too_long_in_line, &Router::give_up},
+    static constexpr std::array<Rule<RequestState>, 8> request_rules{{
+        {&RoutingPolicy::has_needless_attempts, &RoutingPolicy::abandon_attempts},
+        {&RoutingPolicy::can_be_forgotten, &RoutingPolicy::forget},
+        {&RoutingPolicy::deadline_is_near, &RoutingPolicy::give_up},
+        {&RoutingPolicy::kv_limit_is_near, &RoutingPolicy::give_up},
+        {&RoutingPolicy::cannot_succeed, &RoutingPolicy::give_up},
+        {&RoutingPolicy::can_start_decode, &RoutingPolicy::start_decode},
+        {&RoutingPolicy::can_start_prefill, &RoutingPolicy::start_prefill},
+        {&RoutingPolicy::queued_too_long, &RoutingPolicy::give_up},
     }};
-    if (!line_quiet()) call_due();
-    for (bool fired = true; fired;) {
-      fired = false;
+    if (!queue_is_quiet()) activate_due_requests();
+    for (bool applied = true; applied;) {
+      applied = false;
       for (const Rule<Worker>& rule : worker_rules)
-        for (std::size_t i = 0; i < s_.watched.size(); ++i) {
-          Worker& w = at(s_.watched[i]);
-          if ((this->*rule.when)(w)) (this->*rule.then)(w), fired = true;
+        for (std::size_t i = 0; i < state_.watched.size(); ++i) {
+          Worker& worker = worker_at(state_.watched[i]);
+          if ((this->*rule.condition)(worker)) {
+            (this->*rule.action)(worker);
+            applied = true;
+          }
         }
-      for (const Rule<RequestState>& rule : sequence_rules) {
-        const bool reads = rule.then == &Router::read;
-        if (reads) call_first();
-        for (std::size_t i = 0; i < s_.active.size(); ++i) {
-          RequestState& q = sequence(s_.active[i]);
-          if (!(this->*rule.when)(q)) continue;
-          (this->*rule.then)(q), fired = true;
-          if (reads) call_first();
+      for (const Rule<RequestState>& rule : request_rules) {
+        const bool starts_prefill = rule.action == &RoutingPolicy::start_prefill;
+        if (starts_prefill) activate_next_queued();
+        for (std::size_t i = 0; i < state_.active.size(); ++i) {
+          RequestState& request = request_at(state_.active[i]);
+          if (!(this->*rule.condition)(request)) continue;
+          (this->*rule.action)(request);
+          applied = true;
+          if (starts_prefill) activate_next_queued();
         }
       }
     }
-    std::erase_if(s_.watched, [&](int i) {
-      Worker& w = at(i);
-      return !(w.watched = w.pending_attempts > 0 || w.failure_score >= kStrikesOut);
+    std::erase_if(state_.watched, [&](int i) {
+      Worker& worker = worker_at(i);
+      return !(worker.watched = worker.pending_attempts > 0 || worker.failure_score >= kEjectionScore);
     });
-    if (d_.needs_subscription && now_ - s_.subscribed_at > d_.subscription_lifetime / 2)
-      s_.subscribed_at = now_, out_.subscribe();
-    // No rule's matter, and thousands wait so: streams with no other attempt out, until something happens
-    // there; those in line, until their time comes or, one at a time, their turn.
-    s_.parked += std::erase_if(s_.active, [&](int id) {
-      RequestState& q = sequence(id);
-      const bool waits = q.stage == Stage::queued;
-      q.parked = (waits || q.stage == Stage::streaming) && std::ranges::none_of(q.attempts, unanswered);
-      if (q.parked && waits) s_.queue.push_back(id), note_line(q);
-      return q.parked;
+    if (settings_.needs_subscription && now_ - state_.subscribed_at > settings_.subscription_lifetime / 2) {
+      state_.subscribed_at = now_;
+      actions_.subscribe();
+    }
+    // Thousands of requests can wait with nothing for a rule to do, so they are parked: a streaming request
+    // without another outstanding attempt until an input concerns it, a queued one until a time limit nears
+    // or it is next.
+    state_.parked += std::erase_if(state_.active, [&](int id) {
+      RequestState& request = request_at(id);
+      const bool is_queued = request.stage == Stage::queued;
+      request.parked = (is_queued || request.stage == Stage::streaming) &&
+                       std::ranges::none_of(request.attempts, is_unanswered);
+      if (request.parked && is_queued) {
+        state_.queue.push_back(id);
+        update_queue_times(request);
+      }
+      return request.parked;
     });
-    if (s_.active.size() + s_.parked > 0 && s_.next_wakeup_at <= now_)
-      s_.next_wakeup_at = now_ + kPulse, out_.request_wakeup(kPulse);
-    sweep_holders();
+    if (state_.active.size() + state_.parked > 0 && state_.next_wakeup_at <= now_) {
+      state_.next_wakeup_at = now_ + kTickInterval;
+      actions_.request_wakeup(kTickInterval);
+    }
+    expire_prefix_holders();
   }
 
-  // A sequence that something happened to is looked at again, in its place by arrival.
-  RequestState& unparked(int seq) {
-    RequestState& q = sequence(seq);
-    if (!q.parked) return q;
-    if (q.stage == Stage::queued) s_.queue.erase(std::ranges::find(s_.queue, seq));
-    q.parked = false, --s_.parked;
-    const auto order = [&](int id) { return sequence(id).arrival_order; };
-    s_.active.insert(std::ranges::lower_bound(s_.active, q.arrival_order, {}, order), seq);
-    return q;
+  // Makes a request active again that an input concerns, at its place in order of arrival.
+  RequestState& unpark(int request_index) {
+    RequestState& request = request_at(request_index);
+    if (!request.parked) return request;
+    if (request.stage == Stage::queued) state_.queue.erase(std::ranges::find(state_.queue, request_index));
+    request.parked = false;
+    --state_.parked;
+    const auto arrival_order = [&](int id) { return request_at(id).arrival_order; };
+    state_.active.insert(std::ranges::lower_bound(state_.active, request.arrival_order, {}, arrival_order),
+                         request_index);
+    return request;
   }
 
-  // The line: when a rule that waits for a time may act on one of it, at the earliest.
-  void note_line(const RequestState& q) {
-    s_.queue_next_timeout = std::min(s_.queue_next_timeout, patient_until(q));
-    s_.queue_next_deadline = std::min(s_.queue_next_deadline, q.deadline);
-  }
-  Nanos patient_until(const RequestState& q) const {
-    const auto patience = static_cast<Nanos>(kPatience * static_cast<double>(q.slo_deadline - q.arrived_at));
-    return q.attempts.empty() ? q.arrived_at + patience - 1
-                              : std::max(q.arrived_at + patience - 1, q.slo_deadline);
-  }
-  bool pressed(Nanos patient, Nanos abandon) const {
-    const Nanos longest = nanos(s_.mean_first_token_seconds + (readers() > 0) * s_.mean_prefill_seconds);
-    return now_ >= patient || now_ + longest > abandon || now_ >= abandon - 2 * d_.tick - kPulse;
+  // The queue. Tracks the earliest time at which a time-based rule may apply to any queued request.
+  void update_queue_times(const RequestState& request) {
+    state_.queue_next_timeout = std::min(state_.queue_next_timeout, queue_timeout_at(request));
+    state_.queue_next_deadline = std::min(state_.queue_next_deadline, request.deadline);
+  }
+  Nanos queue_timeout_at(const RequestState& request) const {
+    const auto queue_time = static_cast<Nanos>(
+        kQueueTimeShareOfSlo * static_cast<double>(request.slo_deadline - request.arrived_at));
+    return request.attempts.empty() ? request.arrived_at + queue_time - 1
+                                    : std::max(request.arrived_at + queue_time - 1, request.slo_deadline);
+  }
+  // Whether a time-based rule may apply to a queued request with these times.
+  bool queue_rule_may_apply(Nanos queue_timeout, Nanos deadline) const {
+    const Nanos longest =
+        nanos(state_.mean_first_token_seconds + (prefill_worker_count() > 0) * state_.mean_prefill_seconds);
+    return now_ >= queue_timeout || now_ + longest > deadline ||
+           now_ >= deadline - 2 * settings_.tick - kTickInterval;
+  }
+  bool queue_is_quiet() const {
+    return state_.queue.empty() ||
+           !queue_rule_may_apply(state_.queue_next_timeout, state_.queue_next_deadline);
+  }
+  void activate_due_requests() {
+    std::vector<int> due;
+    state_.queue_next_timeout = state_.queue_next_deadline = kNever;
+    for (const int id : state_.queue)
+      queue_rule_may_apply(queue_timeout_at(request_at(id)), request_at(id).deadline)
+          ? due.push_back(id)
+          : update_queue_times(request_at(id));
+    for (const int id : due) unpark(id);
+  }
+  // While the limit leaves room for another prefill, activates the queued request that is next.
+  void activate_next_queued() {
+    if (state_.queue.empty() || in_flight() >= state_.in_flight_limit) return;
+    const auto earlier = [&](int a, int b) { return precedes(request_at(a), request_at(b)); };
+    unpark(*std::ranges::min_element(state_.queue, earlier));
   }
-  bool line_quiet() const {
-    return s_.queue.empty() || !pressed(s_.queue_next_timeout, s_.queue_next_deadline);
+
+  // Guards against memory that grows with workers that register under ever new ids: one that has been gone
+  // for the life of a prefix holder entry is forgotten. The cost: if it returns later under the same id, it
+  // counts as new.
+  void forget_gone_worker(int worker_index) {
+    Worker& worker = worker_at(worker_index);
+    if (worker.gone_since == 0) worker.gone_since = now_;
+    if (now_ - worker.gone_since < kPrefixHolderLifetime || worker.watched) return;
+    for (const RequestState& request : state_.requests)
+      for (const Attempt& attempt : request.attempts)
+        if (attempt.worker == worker_index && (attempt.outstanding || request.stage != Stage::finished))
+          return;
+    worker = {};
+    actions_.forget_worker(worker_index);
   }
-  void call_due() {
-    std::vector<int> due;
-    s_.queue_next_timeout = s_.queue_next_deadline = kNever;
-    for (const int id : s_.queue)
-      pressed(patient_until(sequence(id)), sequence(id).deadline) ? due.push_back(id)
-                                                                  : note_line(sequence(id));
-    for (const int id : due) unparked(id);
-  }
-  // While another may be read: the first in line takes part, and all others come after it.
-  void call_first() {
-    if (s_.queue.empty() || in_flight() >= s_.in_flight_limit) return;
-    const auto first = [&](int a, int b) { return before(sequence(a), sequence(b)); };
-    unparked(*std::ranges::min_element(s_.queue, first));
-  }
-
-  // Guards against memory that grows with workers that come under new ids: one that is gone for as long as a
-  // holder entry lasts is forgotten. Harms one that comes back after that under its id: it counts as new.
-  void forget_gone(int worker) {
-    Worker& w = at(worker);
-    if (w.gone_since == 0) w.gone_since = now_;
-    if (now_ - w.gone_since < kKeptFor || w.watched) return;
-    for (const RequestState& q : s_.requests)
-      for (const Attempt& a : q.attempts)
-        if (a.worker == worker && (a.outstanding || q.stage != Stage::finished)) return;
-    w = {};
-    out_.forget_worker(worker);
-  }
-
-  // Workers: what ails them.
-
-  // Guards against machines that vanish or hang and against cut links: attempts are overdue, and nothing was
-  // heard since they were sent. Can harm a lone worker in one long step; it is back after its time aside.
-  bool fell_silent(const Worker& w) const {
-    if (w.pending_attempts == 0 || w.ejected_until > now_ || now_ <= w.next_overdue_at) return false;
-    w.next_overdue_at = kNever;
-    for (const int id : s_.active)
-      for (const Attempt& a : sequence(id).attempts)
-        if (unanswered(a) && &at(a.worker) == &w && w.last_heard < a.sent_at)
-          w.next_overdue_at = std::min(w.next_overdue_at, a.sent_at + late_after(a));
-    return now_ > w.next_overdue_at;
-  }
-  // In order of index, as all workers were gone through before.
+
+  // Workers: failure detection and ejection.
+
+  // Guards against machines that vanish or hang and against broken links: attempts are overdue, and nothing
+  // was heard from the worker since they were sent. A lone worker in a single long step is ejected by
+  // mistake; it returns after the ejection time.
+  bool is_silent(const Worker& worker) const {
+    if (worker.pending_attempts == 0 || worker.ejected_until > now_ || now_ <= worker.next_overdue_at)
+      return false;
+    worker.next_overdue_at = kNever;
+    for (const int id : state_.active)
+      for (const Attempt& attempt : request_at(id).attempts)
+        if (is_unanswered(attempt) && &worker_at(attempt.worker) == &worker &&
+            worker.last_heard < attempt.sent_at)
+          worker.next_overdue_at = std::min(worker.next_overdue_at, attempt.sent_at + overdue_after(attempt));
+    return now_ > worker.next_overdue_at;
+  }
+  // Keeps the watched workers in order of index, in which the rules are applied.
   void watch(int worker) {
-    if (std::exchange(at(worker).watched, true)) return;
-    s_.watched.insert(std::ranges::lower_bound(s_.watched, worker), worker);
-  }
-  void set_aside_and_leave(Worker& w) {
-    set_aside(w);
-    for (const int id : s_.active) {
-      RequestState& q = sequence(id);
-      for (Attempt& a : q.attempts)
-        if (unanswered(a) && &at(a.worker) == &w && open(q)) {
-          leave(q, a);
-          go_back(q, a, Outcome::timed_out);
+    if (std::exchange(worker_at(worker).watched, true)) return;
+    state_.watched.insert(std::ranges::lower_bound(state_.watched, worker), worker);
+  }
+  void eject_and_abandon_attempts(Worker& worker) {
+    eject(worker);
+    for (const int id : state_.active) {
+      RequestState& request = request_at(id);
+      for (Attempt& attempt : request.attempts)
+        if (is_unanswered(attempt) && &worker_at(attempt.worker) == &worker && awaits_stream(request)) {
+          abandon(request, attempt);
+          retry_after_failure(request, attempt, Outcome::timed_out);
         }
     }
   }
 
-  // Guards against workers that fail fast: errors, broken connections, refusals to connect.
-  bool struck_out(const Worker& w) const { return w.failure_score >= kStrikesOut && w.ejected_until <= now_; }
-  void set_aside(Worker& w) {
-    w.ejected_until = now_ + kAside + nanos(seconds(kAsideSpread) * chance());
-    w.half_open = true, w.failure_score = 0;
+  // Guards against workers that fail fast: errors, broken connections, refused connections.
+  bool fails_too_often(const Worker& worker) const {
+    return worker.failure_score >= kEjectionScore && worker.ejected_until <= now_;
+  }
+  void eject(Worker& worker) {
+    worker.ejected_until = now_ + kEjectionTime + nanos(seconds(kEjectionJitter) * random());
+    worker.half_open = true;
+    worker.failure_score = 0;
   }
 
-  bool cold(const Worker& w) const { return w.cold_since != kNever && now_ < w.cold_since + d_.ramp_time; }
+  bool is_cold(const Worker& worker) const {
+    return worker.cold_since != kNever && now_ < worker.cold_since + settings_.ramp_time;
+  }
 
-  void judge(Worker& w, Outcome outcome, bool silent, bool given_up) {
+  void record_outcome(Worker& worker, Outcome outcome, bool silent, bool abandoned) {
     const bool lost = outcome == Outcome::connection_lost || outcome == Outcome::connect_failed;
-    // Guards against attempts that are all spent at once where every other worker is set aside.
-    if (outcome == Outcome::full || outcome == Outcome::connect_failed) w.backoff_until = now_ + kFullRest;
+    // Guards against spending all attempts at once on this worker while every other one is ejected.
+    if (outcome == Outcome::full || outcome == Outcome::connect_failed)
+      worker.backoff_until = now_ + kRejectionBackoff;
     if (outcome == Outcome::full || outcome == Outcome::kv_missing || outcome == Outcome::error)
-      w.last_heard = now_;
-    if (outcome == Outcome::prefill_done) ++s_.recent_answers[1];
-    if (outcome == Outcome::generated || outcome == Outcome::prefill_done) answered(w);
-    // A connection breaks alone as well, and its worker is fine: a dead one refuses the next.
-    const bool refused = outcome == Outcome::connect_failed && !given_up;
-    if (outcome == Outcome::error || (lost && !given_up))
-      w.failure_score += w.half_open || refused ? kStrikesOut : 1;
-    if (outcome == Outcome::timed_out) w.failure_score += silent ? kStrikesOut : 1;
-    if (outcome == Outcome::connect_failed && w.connection_broken) w.was_unreachable = true;
-    if (outcome == Outcome::connection_lost) w.connection_broken = true;
-  }
-
-  void answered(Worker& w) {
-    w.last_heard = now_, w.failure_score /= 2, w.half_open = false;
-    if (w.ejected_until > now_) w.ejected_until = now_;
-    // Guards rule 4 where the list is late: what was down and answers again has just started.
-    if (w.was_unreachable) w.cold_since = w.cache_valid_since = now_;
-    w.connection_broken = w.was_unreachable = false;
-  }
-
-  void note_report(Worker& w, const LoadReport& report) {
-    w.reported_at = now_;
-    w.reported_requests = report.requests;
-    w.reported_memory_share = report.memory_share;
-    w.own_requests_at_report = w.pending_attempts + w.kv_entries;
-    w.decode_tokens_since_report = 0;
-    const auto role = static_cast<std::size_t>(w.role);
-    if (report.memory_share >= 0) blend(s_.mean_memory_share[role], report.memory_share);
+      worker.last_heard = now_;
+    if (outcome == Outcome::prefill_done) ++state_.recent_answers[1];
+    if (outcome == Outcome::generated || outcome == Outcome::prefill_done) record_success(worker);
+    // A single connection can break while its worker is fine; a dead worker refuses the next connection.
+    const bool refused = outcome == Outcome::connect_failed && !abandoned;
+    if (outcome == Outcome::error || (lost && !abandoned))
+      worker.failure_score += worker.half_open || refused ? kEjectionScore : 1;
+    if (outcome == Outcome::timed_out) worker.failure_score += silent ? kEjectionScore : 1;
+    if (outcome == Outcome::connect_failed && worker.connection_broken) worker.was_unreachable = true;
+    if (outcome == Outcome::connection_lost) worker.connection_broken = true;
+  }
+
+  void record_success(Worker& worker) {
+    worker.last_heard = now_;
+    worker.failure_score /= 2;
+    worker.half_open = false;
+    if (worker.ejected_until > now_) worker.ejected_until = now_;
+    // Guards rule 4 while the worker list lags: a worker that was unreachable and answers again has just
+    // started.
+    if (worker.was_unreachable) worker.cold_since = worker.cache_valid_since = now_;
+    worker.connection_broken = worker.was_unreachable = false;
+  }
+
+  void record_report(Worker& worker, const LoadReport& report) {
+    worker.reported_at = now_;
+    worker.reported_requests = report.requests;
+    worker.reported_memory_share = report.memory_share;
+    worker.own_requests_at_report = worker.pending_attempts + worker.kv_entries;
+    worker.decode_tokens_since_report = 0;
+    const auto role = static_cast<std::size_t>(worker.role);
+    if (report.memory_share >= 0) add_sample(state_.mean_memory_share[role], report.memory_share);
     if (report.requests >= 0)
-      blend(s_.mean_other_requests[role], std::max(0.0, w.reported_requests - w.own_requests_at_report));
+      add_sample(state_.mean_other_requests[role],
+                 std::max(0.0, worker.reported_requests - worker.own_requests_at_report));
   }
 
-  // Guards rule 4 with any number of routers: each lets the same part of its own sends near a cold worker, by
-  // chance and with nothing saved up, so that all together send it a part of what a warm one answers.
-  double cold_part(const Worker& w) const {
-    const double climbed = std::clamp(seconds(now_ - w.cold_since) / seconds(d_.ramp_time), 0.0, 1.0);
-    const double capacity = d_.cold_start_capacity + (1 - d_.cold_start_capacity) * climbed * climbed;
+  // Guards rule 4 with any number of routers: each admits the same share of its own requests to a cold
+  // worker, at random and without saving up unused shares, so that all routers together send it a fraction of
+  // what a warm one answers.
+  double slow_start_share(const Worker& worker) const {
+    const double ramp =
+        std::clamp(seconds(now_ - worker.cold_since) / seconds(settings_.ramp_time), 0.0, 1.0);
+    const double capacity = settings_.cold_start_capacity + (1 - settings_.cold_start_capacity) * ramp * ramp;
     double warm = 0, all = 0;
-    for (const int i : s_.worker_counts.ready[w.role == Role::prefill])
-      if (at(i).role == w.role) ++all, warm += !cold(at(i));
-    const std::size_t reads = w.role == Role::prefill;
-    const double answers = (s_.recent_answers[reads] + 1) / (s_.recent_sends[reads] + 1);
-    return std::min(1.0, kColdCare * d_.overload_factor * capacity) * answers / (warm > 0 ? warm : all);
-  }
-  bool cold_turn(const RequestState& q, const Worker& w) const {
-    // By its hash, as an identity of 64 bits leaves a double no fraction: the guard would let all through.
-    const double drawn = q.admission_draw + 0.618034 * static_cast<double>(q.attempts.size()) + mixed(0, w);
-    return drawn - std::floor(drawn) < cold_part(w);
+    for (const int i : state_.worker_counts.ready[worker.role == Role::prefill])
+      if (worker_at(i).role == worker.role) {
+        ++all;
+        warm += !is_cold(worker_at(i));
+      }
+    const std::size_t role_index = worker.role == Role::prefill;
+    const double answer_rate =
+        (state_.recent_answers[role_index] + 1) / (state_.recent_sends[role_index] + 1);
+    return std::min(1.0, kColdBudgetShare * settings_.overload_factor * capacity) * answer_rate /
+           (warm > 0 ? warm : all);
+  }
+  bool admitted_to_cold_worker(const RequestState& request, const Worker& worker) const {
+    // Uses the hash of the identity: the identity itself, 64 bits wide, has no fractional part left as a
+    // double, so that every request would be admitted.
+    const double draw = request.admission_draw + 0.618034 * static_cast<double>(request.attempts.size()) +
+                        hash_fraction(0, worker);
+    return draw - std::floor(draw) < slow_start_share(worker);
   }
 
-  // Sequences: the ordinary path and its ends.
+  // Requests: the ordinary path and how it ends.
 
-  bool still_asked(const RequestState& q) const {
-    return !open(q) && std::ranges::any_of(q.attempts, unanswered);
+  bool has_needless_attempts(const RequestState& request) const {
+    return !awaits_stream(request) && std::ranges::any_of(request.attempts, is_unanswered);
   }
-  void stop_asking(RequestState& q) {
-    for (Attempt& a : q.attempts)
-      if (unanswered(a)) leave(q, a);
+  void abandon_attempts(RequestState& request) {
+    for (Attempt& attempt : request.attempts)
+      if (is_unanswered(attempt)) abandon(request, attempt);
   }
-  static bool unanswered(const Attempt& a) { return a.outstanding && !a.abandoned && !a.stream_started; }
-  void leave(RequestState& q, Attempt& a) {
-    a.abandoned = true;
-    if (q.kv_held_since != kNever) q.kv_held_since = now_;
-    if (d_.can_cancel) out_.cancel(q.id, static_cast<int>(&a - q.attempts.data()));
+  static bool is_unanswered(const Attempt& attempt) {
+    return attempt.outstanding && !attempt.abandoned && !attempt.stream_started;
+  }
+  void abandon(RequestState& request, Attempt& attempt) {
+    attempt.abandoned = true;
+    if (request.kv_held_since != kNever) request.kv_held_since = now_;
+    if (settings_.can_cancel)
+      actions_.cancel(request.id, static_cast<int>(&attempt - request.attempts.data()));
   }
 
-  bool done_with(const RequestState& q) const {
-    return q.stage == Stage::finished && std::ranges::none_of(q.attempts, &Attempt::outstanding);
+  bool can_be_forgotten(const RequestState& request) const {
+    return request.stage == Stage::finished && std::ranges::none_of(request.attempts, &Attempt::outstanding);
   }
-  void forget(RequestState& q) {
-    drop_strays(q);
-    s_.active.erase(std::find(s_.active.begin(), s_.active.end(), q.id));
-    out_.forget_request(q.id);
+  void forget(RequestState& request) {
+    release_unreported_kv(request);
+    state_.active.erase(std::find(state_.active.begin(), state_.active.end(), request.id));
+    actions_.forget_request(request.id);
   }
 
-  // Rule 5: the state of a read that was left, or whose answer was lost on its way, may have come after all.
-  void drop_strays(RequestState& q) {
-    if (std::ranges::any_of(q.attempts, [](auto& a) { return a.abandoned || a.may_have_left_kv; }))
-      out_.release(q.id);
+  // Rule 5: a prefill that was abandoned, or whose answer was lost, may have left KV cache all the same.
+  void release_unreported_kv(RequestState& request) {
+    if (std::ranges::any_of(request.attempts,
+                            [](auto& attempt) { return attempt.abandoned || attempt.may_have_left_kv; }))
+      actions_.release(request.id);
   }
 
-  // Rule 1: the last moment at which an answer is surely in time.
-  bool nearly_abandoned(const RequestState& q) const {
-    return open(q) && now_ >= q.deadline - 2 * d_.tick - kPulse;
-  }
-  // Rule 5, with half the limit as margin: no writer took the state.
-  bool nearly_overdue(const RequestState& q) const {
-    return q.stage == Stage::prefilled && now_ - q.kv_held_since >= d_.kv_hold_limit / 2;
-  }
-  // No attempt left, or too little time even for what usually takes longest at the coming stage.
-  bool hopeless(const RequestState& q) const {
-    if (q.stage != Stage::queued && q.stage != Stage::prefilled) return false;
-    const int needed = q.stage == Stage::queued && readers() > 0 ? 2 : 1;
-    return static_cast<int>(q.attempts.size()) + needed > d_.max_attempts ||
-           (q.maybe_ran && repeat_closed(q)) ||
-           now_ + nanos(s_.mean_first_token_seconds + (needed - 1) * s_.mean_prefill_seconds) > q.deadline;
-  }
-  bool too_long_in_line(const RequestState& q) const {
-    return q.stage == Stage::queued &&
-           static_cast<double>(now_ - q.arrived_at) >
-               kPatience * static_cast<double>(q.slo_deadline - q.arrived_at) &&
-           (q.attempts.empty() || now_ > q.slo_deadline);
+  // Rule 1: the last moment at which an answer is sure to arrive in time.
+  bool deadline_is_near(const RequestState& request) const {
+    return awaits_stream(request) && now_ >= request.deadline - 2 * settings_.tick - kTickInterval;
+  }
+  // Rule 5, with half of the limit as margin: no decode worker has taken the KV cache.
+  bool kv_limit_is_near(const RequestState& request) const {
+    return request.stage == Stage::prefilled && now_ - request.kv_held_since >= settings_.kv_hold_limit / 2;
+  }
+  // No attempt is left, the request must not be repeated, or the time left is shorter than the usual wait of
+  // the stages to come.
+  bool cannot_succeed(const RequestState& request) const {
+    if (request.stage != Stage::queued && request.stage != Stage::prefilled) return false;
+    const int needed = request.stage == Stage::queued && prefill_worker_count() > 0 ? 2 : 1;
+    return static_cast<int>(request.attempts.size()) + needed > settings_.max_attempts ||
+           (request.maybe_ran && repeat_forbidden(request)) ||
+           now_ + nanos(state_.mean_first_token_seconds + (needed - 1) * state_.mean_prefill_seconds) >
+               request.deadline;
+  }
+  bool queued_too_long(const RequestState& request) const {
+    return request.stage == Stage::queued &&
+           static_cast<double>(now_ - request.arrived_at) >
+               kQueueTimeShareOfSlo * static_cast<double>(request.slo_deadline - request.arrived_at) &&
+           (request.attempts.empty() || now_ > request.slo_deadline);
   }
 
-  void give_up(RequestState& q) {
-    const TrafficType& t = type(q);
-    const bool may_reject = t.effect == Effect::repeatable || !may_have_run(q) ||
-                            (t.effect == Effect::tokened && t.group == Group::all);
-    const double after = d_.send_retry_after ? seconds(d_.max_retry_after) * (0.5 + 0.5 * chance()) : 0;
-    may_reject ? out_.reject(q.id, nanos(after)) : out_.abort(q.id);
-    finish(q);
-  }
-  void finish(RequestState& q) {
-    if (q.kv_held_since != kNever) out_.release(q.id);
-    state_gone(q);
-    enter(q, Stage::finished);
-  }
-  void state_gone(RequestState& q) {
-    if (q.kv_held_since != kNever) --at(q.prefill_worker).kv_entries;
-    q.kv_held_since = kNever;
+  void give_up(RequestState& request) {
+    const TrafficType& traffic_type = type_of(request);
+    const bool may_reject = traffic_type.effect == Effect::repeatable || !may_have_run(request) ||
+                            (traffic_type.effect == Effect::tokened && traffic_type.group == Group::all);
+    const double retry_after =
+        settings_.send_retry_after ? seconds(settings_.max_retry_after) * (0.5 + 0.5 * random()) : 0;
+    may_reject ? actions_.reject(request.id, nanos(retry_after)) : actions_.abort(request.id);
+    finish(request);
+  }
+  void finish(RequestState& request) {
+    if (request.kv_held_since != kNever) actions_.release(request.id);
+    clear_kv_held(request);
+    set_stage(request, Stage::finished);
+  }
+  void clear_kv_held(RequestState& request) {
+    if (request.kv_held_since != kNever) --worker_at(request.prefill_worker).kv_entries;
+    request.kv_held_since = kNever;
   }
 
-  // After an attempt that brought nothing: back in line or, while the state waits, to the choice of a writer.
-  void go_back(RequestState& q, const Attempt& a, Outcome outcome) {
+  // After an attempt without a result: queues the request again or, while its KV cache is held, chooses
+  // another decode worker.
+  void retry_after_failure(RequestState& request, const Attempt& attempt, Outcome outcome) {
     if (outcome == Outcome::prefill_done || outcome == Outcome::generated) return;
-    if (a.is_prefill || outcome == Outcome::kv_missing || q.kv_held_since == kNever) {
-      state_gone(q);
-      drop_strays(q);
-      enter(q, Stage::queued);
+    if (attempt.is_prefill || outcome == Outcome::kv_missing || request.kv_held_since == kNever) {
+      clear_kv_held(request);
+      release_unreported_kv(request);
+      set_stage(request, Stage::queued);
     } else {
-      enter(q, Stage::prefilled);
+      set_stage(request, Stage::prefilled);
     }
   }
 
-  void read_ended(RequestState& q, const Attempt& a, Worker& w, Nanos took, double kept) {
-    const double read = std::max(1.0, q.prompt_tokens - kept);
-    learn(w, a.queued_tokens_ahead + read, seconds(took));
-    smooth(s_.mean_prefill_tokens, read);
-    smooth(s_.mean_prefill_seconds, seconds(took));
-    // Guards against leads that are gone (a flush, a full memory, a restart that no one told): where this key
-    // was dropped, keys that were last read there before it are gone too.
-    if (kept < a.expected_cached_tokens / 2)
-      w.cache_valid_since = std::max(w.cache_valid_since, a.prefix_recorded_at + 1);
-    hold(q.session, a.worker, q.prompt_tokens);
-    hold(q.prefix_hash, a.worker, q.prefix_tokens);
-    // A read that was left for late may end first all the same: its state is as good, the other read stops.
-    if (q.stage != Stage::prefilling && q.stage != Stage::queued) return;
-    stop_asking(q);
-    enter(q, Stage::prefilled);
-    q.prefill_worker = a.worker, q.kv_held_since = now_;
-    ++w.kv_entries;
-  }
-
-  // The read: DESIGN's load pick and the holder's lead against it.
-
-  bool ready_to_read(const RequestState& q) const {
-    if (q.stage != Stage::queued || in_flight() >= s_.in_flight_limit || !has_room(q)) return false;
-    for (const int id : s_.active)
-      if (sequence(id).stage == Stage::queued && before(sequence(id), q)) return false;
-    return !candidates(q, readers() > 0).empty();
-  }
-  // By latency SLO; while readers are what is short, the least to read first, so that most are answered.
-  bool before(const RequestState& a, const RequestState& b) const {
+  void record_prefill(RequestState& request, const Attempt& attempt, Worker& worker, Nanos elapsed,
+                      double cached_tokens) {
+    const double computed_tokens = std::max(1.0, request.prompt_tokens - cached_tokens);
+    learn_prefill_time(worker, attempt.queued_tokens_ahead + computed_tokens, seconds(elapsed));
+    smooth(state_.mean_prefill_tokens, computed_tokens);
+    smooth(state_.mean_prefill_seconds, seconds(elapsed));
+    // Guards against prefix entries whose cache is gone (a flush, a full memory, an unreported restart):
+    // where this key was evicted, keys that were last used there before it are gone too.
+    if (cached_tokens < attempt.expected_cached_tokens / 2)
+      worker.cache_valid_since = std::max(worker.cache_valid_since, attempt.prefix_recorded_at + 1);
+    record_prefix(request.session, attempt.worker, request.prompt_tokens);
+    record_prefix(request.prefix_hash, attempt.worker, request.prefix_tokens);
+    // An abandoned prefill may still end first: its KV cache is as good, and the other prefill is abandoned.
+    if (request.stage != Stage::prefilling && request.stage != Stage::queued) return;
+    abandon_attempts(request);
+    set_stage(request, Stage::prefilled);
+    request.prefill_worker = attempt.worker;
+    request.kv_held_since = now_;
+    ++worker.kv_entries;
+  }
+
+  // Choice of the prefill worker: by load, unless the cached prefix at another worker outweighs its load.
+
+  bool can_start_prefill(const RequestState& request) const {
+    if (request.stage != Stage::queued || in_flight() >= state_.in_flight_limit ||
+        !decode_memory_available(request))
+      return false;
+    for (const int id : state_.active)
+      if (request_at(id).stage == Stage::queued && precedes(request_at(id), request)) return false;
+    return !candidates(request, prefill_worker_count() > 0).empty();
+  }
+  // Order of the queue: requests within their tenant's share first, then by the end of the latency SLO. While
+  // prefill workers are the bottleneck, the shortest prefill goes first, so that most requests are answered.
+  bool precedes(const RequestState& a, const RequestState& b) const {
     if (a.within_tenant_share != b.within_tenant_share) return a.within_tenant_share;
-    const bool readers_short =
-        s_.latency_pressure > kPart / 2 && s_.mean_prefill_seconds > s_.mean_first_token_seconds;
-    if (readers_short && a.uncached_tokens != b.uncached_tokens) return a.uncached_tokens < b.uncached_tokens;
+    const bool prefill_is_bottleneck = state_.latency_pressure > kFirstTokenShareOfSlo / 2 &&
+                                       state_.mean_prefill_seconds > state_.mean_first_token_seconds;
+    if (prefill_is_bottleneck && a.uncached_tokens != b.uncached_tokens)
+      return a.uncached_tokens < b.uncached_tokens;
     return a.slo_deadline != b.slo_deadline ? a.slo_deadline < b.slo_deadline : a.id < b.id;
   }
-  double to_read(const RequestState& q) const {
-    double most = 0;
-    const int home = home_of(q);
-    const auto look = [&](int w) {
-      if (serves(at(w), true) && listed(at(w))) most = std::max(most, lead(q, w, home));
+  // Prompt tokens that no ready prefill worker is expected to have cached.
+  double uncached_tokens(const RequestState& request) const {
+    double most_cached = 0;
+    const int home = home_worker(request);
+    const auto consider = [&](int worker) {
+      if (serves(worker_at(worker), true) && is_ready(worker_at(worker)))
+        most_cached = std::max(most_cached, expected_cached_tokens(request, worker, home));
     };
-    if (home >= 0) look(home);
-    for (const std::uint64_t key : {q.session, q.prefix_hash})
-      if (const auto it = s_.prefix_holders.find(key); key != 0 && it != s_.prefix_holders.end())
-        for (const PrefixHolder& h : it->second) look(h.worker);
-    return q.prompt_tokens - most;
-  }
-  // The lead by worker: most have none, and neither table is asked for them.
-  auto leads(const RequestState& q, int home) const {
-    const auto listed_at = [&](std::uint64_t key) {
-      const auto it = key == 0 ? s_.prefix_holders.end() : s_.prefix_holders.find(key);
-      return it == s_.prefix_holders.end() ? nullptr : &it->second;
+    if (home >= 0) consider(home);
+    for (const std::uint64_t key : {request.session, request.prefix_hash})
+      if (const auto it = state_.prefix_holders.find(key); key != 0 && it != state_.prefix_holders.end())
+        for (const PrefixHolder& holder : it->second) consider(holder.worker);
+    return request.prompt_tokens - most_cached;
+  }
+  // Returns a function of the worker that gives its expected cached tokens. Looks the two keys up once: most
+  // workers hold neither.
+  auto cached_tokens_by_worker(const RequestState& request, int home) const {
+    const auto holders_of = [&](std::uint64_t key) {
+      const auto it = key == 0 ? state_.prefix_holders.end() : state_.prefix_holders.find(key);
+      return it == state_.prefix_holders.end() ? nullptr : &it->second;
     };
-    return [this, &q, home, own = listed_at(q.session), shared = listed_at(q.prefix_hash)](int w) {
-      const auto here = [w](const PrefixHolder& h) { return h.worker == w; };
-      const bool any = w == home || (own != nullptr && std::ranges::any_of(*own, here)) ||
-                       (shared != nullptr && std::ranges::any_of(*shared, here));
-      return any ? lead(q, w, home) : 0;
+    return [this, &request, home, session_holders = holders_of(request.session),
+            prefix_holders = holders_of(request.prefix_hash)](int worker) {
+      const auto is_here = [worker](const PrefixHolder& holder) { return holder.worker == worker; };
+      const bool any = worker == home ||
+                       (session_holders != nullptr && std::ranges::any_of(*session_holders, is_here)) ||
+                       (prefix_holders != nullptr && std::ranges::any_of(*prefix_holders, is_here));
+      return any ? expected_cached_tokens(request, worker, home) : 0;
     };
   }
-  double lead(const RequestState& q, int w, int home) const {
-    const double own = q.prompt_tokens - q.prefix_tokens;  // what only this session has
-    return std::max(promise(q, w).tokens, w == home ? q.prefix_tokens + kHomeTrust * own : 0);
-  }
-  void read(RequestState& q) {
-    if (readers() == 0) return write(q);  // mixed workers, or writers that read: one attempt does both
-    const std::vector<int>& usable = usable_;
-    const double pace = per_token();
-    for (const int w : usable) at(w).seconds_per_token = per_token(at(w)), at(w).load_score = ease(at(w));
-    const int by_load = sample(
-        usable, [&](int w) { return at(w).load_score; }, kNear * s_.mean_prefill_tokens * pace);
-    const int home = home_of(q);
-    const auto lead_of = leads(q, home);
-    const double lead_by_load = lead_of(by_load), ease_by_load = at(by_load).load_score;
-    holders_.clear();
-    for (const int w : usable) {
-      Worker& x = at(w);
-      x.cache_advantage = (lead_of(w) - lead_by_load) * x.seconds_per_token + x.load_score - ease_by_load;
-      if (x.cache_advantage > 0) holders_.push_back(w);
+  double expected_cached_tokens(const RequestState& request, int worker, int home) const {
+    const double session_tokens = request.prompt_tokens - request.prefix_tokens;  // beyond the shared prefix
+    return std::max(recorded_prefix(request, worker).tokens,
+                    worker == home ? request.prefix_tokens + kHomeCachedShare * session_tokens : 0);
+  }
+  void start_prefill(RequestState& request) {
+    // Without prefill workers, mixed or decode workers do both phases in one attempt.
+    if (prefill_worker_count() == 0) return start_decode(request);
+    const std::vector<int>& usable = candidates_;
+    const double fleet_seconds_per_token = seconds_per_token();
+    for (const int i : usable) {
+      worker_at(i).seconds_per_token = seconds_per_token(worker_at(i));
+      worker_at(i).load_score = load_score(worker_at(i));
     }
-    const auto gain = [&](int w) { return at(w).cache_advantage; };
-    q.prefill_worker = holders_.empty() ? by_load : sample(holders_, gain, kNear * q.prompt_tokens * pace);
-    enter(q, Stage::prefilling);
-    q.dequeued_at = now_;
-    send(q, q.prefill_worker, true);
-  }
-  // Departure: a session that the table does not know may have been read through another router. All routers
-  // name the same reader for it, by a hash, among a few that they name for its beginning: a large fleet
-  // has more beginnings than one reader can keep. A home that is cold or set aside passes on to the next one.
-  int home_of(const RequestState& q) const {
-    if (q.session == 0 || s_.prefix_holders.contains(q.session)) return -1;
-    const auto& zones = s_.worker_counts.in_zone[1];
-    const auto in = [&](int zone) {
-      const auto it = zones.find(zone);
-      return it == zones.end() ? 0 : it->second;
+    const int by_load = pick_near_best(
+        usable, [&](int i) { return worker_at(i).load_score; },
+        kTieShareOfPrefillTime * state_.mean_prefill_tokens * fleet_seconds_per_token);
+    const int home = home_worker(request);
+    const auto cached_tokens_at = cached_tokens_by_worker(request, home);
+    const double cached_by_load = cached_tokens_at(by_load), score_by_load = worker_at(by_load).load_score;
+    cache_choices_.clear();
+    for (const int i : usable) {
+      Worker& worker = worker_at(i);
+      worker.cache_advantage = (cached_tokens_at(i) - cached_by_load) * worker.seconds_per_token +
+                               worker.load_score - score_by_load;
+      if (worker.cache_advantage > 0) cache_choices_.push_back(i);
+    }
+    const auto cache_advantage = [&](int i) { return worker_at(i).cache_advantage; };
+    request.prefill_worker =
+        cache_choices_.empty()
+            ? by_load
+            : pick_near_best(cache_choices_, cache_advantage,
+                             kTieShareOfPrefillTime * request.prompt_tokens * fleet_seconds_per_token);
+    set_stage(request, Stage::prefilling);
+    request.dequeued_at = now_;
+    send(request, request.prefill_worker, true);
+  }
+  // The home of a session that is not in the table, or -1. Differs from the design: another router may have
+  // routed the session's earlier turns, so all routers derive the same prefill worker from a hash, among the
+  // few that the prefix maps to, as a large fleet has more prefixes than one worker can keep cached. A cold
+  // or ejected home is skipped for the next in rank.
+  int home_worker(const RequestState& request) const {
+    if (request.session == 0 || state_.prefix_holders.contains(request.session)) return -1;
+    const auto& in_zone = state_.worker_counts.in_zone[1];
+    const auto count_in = [&](int zone) {
+      const auto it = in_zone.find(zone);
+      return it == in_zone.end() ? 0 : it->second;
     };
-    const double here = in(d_.zone), all = readers() + 1;
-    // Zones are uneven: what is past the even part of the zone's readers has its home in another zone.
-    const double even = here * static_cast<double>(zones.size() + (here == 0)) / all;
-    const bool stays = mixed(q.session, Worker{}) < even;
+    const double here = count_in(settings_.zone), all = prefill_worker_count() + 1;
+    // Zones have different numbers of prefill workers: sessions beyond this zone's proportional part get a
+    // home in another zone.
+    const double zone_share = here * static_cast<double>(in_zone.size() + (here == 0)) / all;
+    const bool stays_in_zone = hash_fraction(request.session, Worker{}) < zone_share;
     int home = -1;
-    double most = -1;
-    for (const int w : s_.worker_counts.ready[1]) {
-      if (at(w).ejected_until > now_ || cold(at(w))) continue;
-      const bool shares = q.prefix_hash == 0 || mixed(q.prefix_hash, at(w)) * in(at(w).zone) < kHomes;
-      const double rank = mixed(q.session, at(w)) + shares + 2 * ((at(w).zone == d_.zone) == stays);
-      if (rank > most) home = w, most = rank;  // clients come again in their zone
+    double best = -1;
+    for (const int i : state_.worker_counts.ready[1]) {
+      if (worker_at(i).ejected_until > now_ || is_cold(worker_at(i))) continue;
+      const bool is_replica =
+          request.prefix_hash == 0 ||
+          hash_fraction(request.prefix_hash, worker_at(i)) * count_in(worker_at(i).zone) < kPrefixReplicas;
+      // The zone weighs most, as clients return to the same zone.
+      const double rank = hash_fraction(request.session, worker_at(i)) + is_replica +
+                          2 * ((worker_at(i).zone == settings_.zone) == stays_in_zone);
+      if (rank > best) {
+        home = i;
+        best = rank;
+      }
     }
     return home;
   }
-  static double mixed(std::uint64_t key, const Worker& w) {
-    std::uint64_t mixed = (key ^ w.identity * 0x9e3779b97f4a7c15u) * 0xbf58476d1ce4e5b9u;
-    mixed = (mixed ^ mixed >> 31) * 0x94d049bb133111ebu;
-    return static_cast<double>(mixed >> 11) / 9007199254740992.0;
+  // A hash of the key and the worker's identity, uniform in [0, 1): the same at every router.
+  static double hash_fraction(std::uint64_t key, const Worker& worker) {
+    std::uint64_t hash = (key ^ worker.identity * 0x9e3779b97f4a7c15u) * 0xbf58476d1ce4e5b9u;
+    hash = (hash ^ hash >> 31) * 0x94d049bb133111ebu;
+    return static_cast<double>(hash >> 11) / 9007199254740992.0;
   }
-  // Among those within a margin of the best, by chance with weight 1 / (waiting + 1).
+  // Picks at random among the workers whose score is within a margin of the best, with weight 1 / (queued
+  // requests + 1).
   template <class Score>
-  int sample(const std::vector<int>& from, Score score, double margin) {
+  int pick_near_best(const std::vector<int>& workers, Score score, double margin) {
     double best = -1e18, total = 0;
-    for (const int w : from) best = std::max(best, score(w));
-    near_.clear();
-    for (const int w : from)
-      if (score(w) >= best - margin) near_.push_back({w, 1 / (waiting(at(w)) + 1)});
-    for (const auto& [w, weight] : near_) total += weight;
-    double left = chance() * total;
-    for (const auto& [w, weight] : near_)
-      if ((left -= weight) <= 0) return w;
-    return near_.back().first;
-  }
-  // What a read takes, learned from answers: a line through the fleet's reads (seconds a token, and a part
-  // that does not grow with the tokens), and for each reader how far it lies off that line.
-  void learn(Worker& w, double tokens, double took) {
-    const double keep = decay(now_ - w.speed_updated_at), should = overhead() + tokens * per_token();
-    w.measured_prefill_seconds = w.measured_prefill_seconds * keep + took;
-    w.predicted_prefill_seconds = w.predicted_prefill_seconds * keep + should;
-    w.speed_updated_at = now_;
-    const LinearFit& l = s_.prefill_time_fit;
-    const double k = decay(now_ - l.updated_at), xx = tokens * tokens, xt = tokens * took;
-    s_.prefill_time_fit = {l.weight * k + 1,  l.sum_x * k + tokens, l.sum_y * k + took,
-                           l.sum_xx * k + xx, l.sum_xy * k + xt,    now_};
-  }
-  void learn_late_read(const Attempt& a, Worker& w, double took) {
-    smooth(s_.mean_prefill_seconds, took);
-    learn(w, a.queued_tokens_ahead + a.load_tokens, took);
-  }
-  // A release has voided them; they would have taken so long at least.
-  void learn_from_voided(const RequestState& q) {
-    for (const Attempt& a : q.attempts)
-      if (a.is_prefill && unanswered(a)) learn_late_read(a, at(a.worker), seconds(now_ - a.sent_at));
-  }
-  double per_token() const {
-    const LinearFit& l =
-        s_.prefill_time_fit;  // two points ahead of the answers: nothing at once, kPriorTokens at kFirstRate
-    const double n = l.weight + 2, x = l.sum_x + kPriorTokens, t = l.sum_y + kPriorTokens / kFirstRate;
-    const double xx = l.sum_xx + kPriorTokens * kPriorTokens,
-                 xt = l.sum_xy + kPriorTokens * kPriorTokens / kFirstRate;
-    return std::max(1e-6, (n * xt - x * t) / (n * xx - x * x));
-  }
-  double overhead() const {
-    return std::max(0.0, (s_.prefill_time_fit.sum_y - per_token() * s_.prefill_time_fit.sum_x) /
-                             (s_.prefill_time_fit.weight + 1));
-  }
-  double per_token(const Worker& w) const {
-    // However much of it has decayed, it lies between this and 1.
-    const double fresh =
-        (w.measured_prefill_seconds + kPriorSeconds) / (w.predicted_prefill_seconds + kPriorSeconds);
-    if (fresh < 0.99 * kOddSpeed && fresh * 0.99 * kOddSpeed > 1) return per_token();
-    const double keep = decay(now_ - w.speed_updated_at);
-    const double ratio = (w.measured_prefill_seconds * keep + kPriorSeconds) /
-                         (w.predicted_prefill_seconds * keep + kPriorSeconds);
-    return per_token() * (ratio > kOddSpeed || ratio * kOddSpeed < 1 ? ratio : 1);
-  }
-  // What others hold at a reader.
-  double others(const Worker& w) const {
-    const double reported =
-        w.reported_requests < 0 ? -1 : std::max(0.0, w.reported_requests - w.own_requests_at_report);
-    return drifted(w, reported, s_.mean_other_requests[static_cast<std::size_t>(w.role)], kReportLife);
-  }
-  double ease(const Worker& w) const {
-    return -wait(w, w.seconds_per_token) - s_.mean_prefill_tokens * w.seconds_per_token - far(w);
-  }
-  double waiting(const Worker& w) const { return w.pending_attempts + kOthersRead * others(w); }
-  double wait(const Worker& w, double pace) const {
-    return (w.prefill_tokens + kOthersRead * others(w) * s_.mean_prefill_tokens) * pace;
-  }
-  // Crossing zones costs a share of the utility: as much as so much waiting.
-  double far(const Worker& w) const {
-    return w.zone == d_.zone ? 0 : d_.cross_zone_price + kNear * s_.mean_prefill_tokens * per_token();
-  }
-
-  // The write: DESIGN's pick by memory, after the read, with its tie order.
-
-  bool ready_to_write(const RequestState& q) const {
-    return q.stage == Stage::prefilled && !candidates(q, false).empty();
-  }
-  void write(RequestState& q) {
-    const std::vector<int>& usable = usable_;
-    double best = 1e18;
-    for (const int w : usable) best = std::min(best, at(w).memory_fullness = fullness(at(w)));
-    const int cell = q.prefill_worker < 0 ? -1 : at(q.prefill_worker).cell,
-              zone = q.prefill_worker < 0 ? d_.zone : at(q.prefill_worker).zone;
-    // Departure: where a cell's writers are few for its readers, only their even part stays in the cell.
-    const bool stays = cell < 0 || chance() < even_part(at(q.prefill_worker));
-    // What still ties goes by chance: by index, a hundred routers would all name the same writer.
+    for (const int i : workers) best = std::max(best, score(i));
+    near_best_.clear();
+    for (const int i : workers)
+      if (score(i) >= best - margin) near_best_.push_back({i, 1 / (queued_requests(worker_at(i)) + 1)});
+    for (const auto& [i, weight] : near_best_) total += weight;
+    double left = random() * total;
+    for (const auto& [i, weight] : near_best_)
+      if ((left -= weight) <= 0) return i;
+    return near_best_.back().first;
+  }
+  // Learns the duration of prefills from answers: a linear fit over all prefill workers (seconds per token,
+  // and an overhead that does not grow with the tokens), and for each worker its ratio to that fit.
+  void learn_prefill_time(Worker& worker, double tokens, double elapsed) {
+    const double worker_decay = decay(now_ - worker.speed_updated_at),
+                 predicted = prefill_overhead() + tokens * seconds_per_token();
+    worker.measured_prefill_seconds = worker.measured_prefill_seconds * worker_decay + elapsed;
+    worker.predicted_prefill_seconds = worker.predicted_prefill_seconds * worker_decay + predicted;
+    worker.speed_updated_at = now_;
+    const LinearFit& fit = state_.prefill_time_fit;
+    const double fit_decay = decay(now_ - fit.updated_at), xx = tokens * tokens, xy = tokens * elapsed;
+    state_.prefill_time_fit = {fit.weight * fit_decay + 1,      fit.sum_x * fit_decay + tokens,
+                               fit.sum_y * fit_decay + elapsed, fit.sum_xx * fit_decay + xx,
+                               fit.sum_xy * fit_decay + xy,     now_};
+  }
+  void learn_from_late_prefill(const Attempt& attempt, Worker& worker, double elapsed) {
+    smooth(state_.mean_prefill_seconds, elapsed);
+    learn_prefill_time(worker, attempt.queued_tokens_ahead + attempt.load_tokens, elapsed);
+  }
+  // Prefills that a release has voided would have taken at least as long as they have run.
+  void learn_from_voided_prefills(const RequestState& request) {
+    for (const Attempt& attempt : request.attempts)
+      if (attempt.is_prefill && is_unanswered(attempt))
+        learn_from_late_prefill(attempt, worker_at(attempt.worker), seconds(now_ - attempt.sent_at));
+  }
+  double seconds_per_token() const {
+    const LinearFit& fit = state_.prefill_time_fit;
+    // Adds two initial points to the measured ones: no time for no tokens, and kInitialPrefillTokens at
+    // kInitialTokensPerSecond.
+    const double weight = fit.weight + 2, sum_x = fit.sum_x + kInitialPrefillTokens,
+                 sum_y = fit.sum_y + kInitialPrefillTokens / kInitialTokensPerSecond;
+    const double sum_xx = fit.sum_xx + kInitialPrefillTokens * kInitialPrefillTokens,
+                 sum_xy =
+                     fit.sum_xy + kInitialPrefillTokens * kInitialPrefillTokens / kInitialTokensPerSecond;
+    return std::max(1e-6, (weight * sum_xy - sum_x * sum_y) / (weight * sum_xx - sum_x * sum_x));
+  }
+  // Seconds of a prefill that do not depend on its tokens.
+  double prefill_overhead() const {
+    return std::max(0.0,
+                    (state_.prefill_time_fit.sum_y - seconds_per_token() * state_.prefill_time_fit.sum_x) /
+                        (state_.prefill_time_fit.weight + 1));
+  }
+  double seconds_per_token(const Worker& worker) const {
+    // Decay only moves this ratio towards 1, so the exponential is not needed while the ratio is within the
+    // noise.
+    const double undecayed = (worker.measured_prefill_seconds + kWorkerSpeedPriorSeconds) /
+                             (worker.predicted_prefill_seconds + kWorkerSpeedPriorSeconds);
+    if (undecayed < 0.99 * kSpeedNoiseFactor && undecayed * 0.99 * kSpeedNoiseFactor > 1)
+      return seconds_per_token();
+    const double remaining = decay(now_ - worker.speed_updated_at);
+    const double ratio = (worker.measured_prefill_seconds * remaining + kWorkerSpeedPriorSeconds) /
+                         (worker.predicted_prefill_seconds * remaining + kWorkerSpeedPriorSeconds);
+    return seconds_per_token() * (ratio > kSpeedNoiseFactor || ratio * kSpeedNoiseFactor < 1 ? ratio : 1);
+  }
+  // Requests of other routers at a prefill worker.
+  double other_requests(const Worker& worker) const {
+    const double reported = worker.reported_requests < 0
+                                ? -1
+                                : std::max(0.0, worker.reported_requests - worker.own_requests_at_report);
+    return drift_to_mean(worker, reported, state_.mean_other_requests[static_cast<std::size_t>(worker.role)],
+                         kLoadReportDecayTime);
+  }
+  // Negative seconds: the wait at the worker, an average prefill there, and the cost of crossing zones.
+  double load_score(const Worker& worker) const {
+    return -wait_seconds(worker, worker.seconds_per_token) -
+           state_.mean_prefill_tokens * worker.seconds_per_token - zone_penalty_seconds(worker);
+  }
+  double queued_requests(const Worker& worker) const {
+    return worker.pending_attempts + kOthersQueuedShare * other_requests(worker);
+  }
+  double wait_seconds(const Worker& worker, double seconds_per_token) const {
+    return (worker.prefill_tokens +
+            kOthersQueuedShare * other_requests(worker) * state_.mean_prefill_tokens) *
+           seconds_per_token;
+  }
+  // Crossing zones costs a share of the utility, which is weighed like this many seconds of waiting.
+  double zone_penalty_seconds(const Worker& worker) const {
+    return worker.zone == settings_.zone
+               ? 0
+               : settings_.cross_zone_price +
+                     kTieShareOfPrefillTime * state_.mean_prefill_tokens * seconds_per_token();
+  }
+
+  // Choice of the decode worker, after the prefill: by free memory, with ties broken by cell, zone and own
+  // load.
+
+  bool can_start_decode(const RequestState& request) const {
+    return request.stage == Stage::prefilled && !candidates(request, false).empty();
+  }
+  void start_decode(RequestState& request) {
+    const std::vector<int>& usable = candidates_;
+    double least_full = 1e18;
+    for (const int i : usable)
+      least_full = std::min(least_full, worker_at(i).memory_fullness = memory_fullness(worker_at(i)));
+    const int cell = request.prefill_worker < 0 ? -1 : worker_at(request.prefill_worker).cell,
+              zone = request.prefill_worker < 0 ? settings_.zone : worker_at(request.prefill_worker).zone;
+    // Differs from the design: where a cell has few decode workers for its prefill workers, only a
+    // proportional part of the requests stays in the cell.
+    const bool stays_in_cell = cell < 0 || random() < cell_decode_ratio(worker_at(request.prefill_worker));
+    // Remaining ties are broken at random: by index, a hundred routers would all pick the same worker.
     using Rank = std::tuple<bool, bool, bool, double, double>;
-    int writer = -1;
-    Rank first;
-    for (const int w : usable) {
-      const Worker& x = at(w);
-      const bool misfit = stays ? x.cell != cell : x.zone != zone || even_part(x) <= 1;
-      const Rank rank{x.memory_fullness > best + kTieBand, misfit, x.zone != zone, x.decode_tokens, chance()};
-      if (writer < 0 || rank < first) writer = w, first = rank;
+    int chosen = -1;
+    Rank best;
+    for (const int i : usable) {
+      const Worker& worker = worker_at(i);
+      const bool wrong_cell =
+          stays_in_cell ? worker.cell != cell : worker.zone != zone || cell_decode_ratio(worker) <= 1;
+      const Rank rank{worker.memory_fullness > least_full + kTieShareOfDecodeMemory, wrong_cell,
+                      worker.zone != zone, worker.decode_tokens, random()};
+      if (chosen < 0 || rank < best) {
+        chosen = i;
+        best = rank;
+      }
     }
-    enter(q, Stage::decoding);
-    send(q, writer, false);
-  }
-  // A cell's share of its zone's writers against its share of the zone's readers.
-  double even_part(const Worker& in) const {
-    double all[2]{}, here[2]{};
-    for (std::size_t reads = 0; reads < 2; ++reads) {
-      const auto zone = s_.worker_counts.in_cell[reads].find(in.zone);
-      if (zone == s_.worker_counts.in_cell[reads].end()) continue;
-      all[reads] = s_.worker_counts.in_zone[reads].at(in.zone);
-      if (const auto cell = zone->second.find(in.cell); cell != zone->second.end())
-        here[reads] = cell->second;
+    set_stage(request, Stage::decoding);
+    send(request, chosen, false);
+  }
+  // The cell's share of its zone's decode workers, divided by its share of the zone's prefill workers.
+  double cell_decode_ratio(const Worker& member) const {
+    double in_zone[2]{}, in_cell[2]{};
+    for (std::size_t role_index = 0; role_index < 2; ++role_index) {
+      const auto zone = state_.worker_counts.in_cell[role_index].find(member.zone);
+      if (zone == state_.worker_counts.in_cell[role_index].end()) continue;
+      in_zone[role_index] = state_.worker_counts.in_zone[role_index].at(member.zone);
+      if (const auto cell = zone->second.find(member.cell); cell != zone->second.end())
+        in_cell[role_index] = cell->second;
     }
-    return here[0] * all[1] / std::max(1.0, here[1] * all[0]);
-  }
-  double memory(const Worker& w) const {
-    const double tokens = d_.kinds[static_cast<std::size_t>(w.kind)].memory_tokens;
-    return tokens > 0 ? tokens : 1e9;  // not told: no bound
-  }
-  double fullness(const Worker& w) const {
-    const RunningMean& mean = s_.mean_memory_share[static_cast<std::size_t>(w.role)];
-    if (mean.samples == 0) return w.decode_tokens * d_.routers / memory(w);
-    return drifted(w, w.reported_memory_share, mean, kMemory) + w.decode_tokens_since_report / memory(w);
-  }
-  // An unheard worker is as the average of those heard, and an old report drifts there.
-  double drifted(const Worker& w, double reported, const RunningMean& mean, Nanos life) const {
-    const double left = reported < 0 ? 0 : decay(now_ - w.reported_at, life);
-    return mean.value + left * (reported - mean.value);
-  }
-  // Guards against states that mount at readers while writers are full: reads are held back while what this
-  // router has on its way would not fit its part of the writers' free memory.
-  bool has_room(const RequestState& q) const {
-    if (in_flight() < least_limit()) return true;
-    double room = 0, coming = stream_size(q);
-    for (const int id : s_.active) {
-      const Stage stage = sequence(id).stage;
-      if (stage == Stage::prefilling || stage == Stage::prefilled) coming += stream_size(sequence(id));
+    return in_cell[0] * in_zone[1] / std::max(1.0, in_cell[1] * in_zone[0]);
+  }
+  double memory_tokens(const Worker& worker) const {
+    const double tokens = settings_.kinds[static_cast<std::size_t>(worker.kind)].memory_tokens;
+    return tokens > 0 ? tokens : 1e9;  // not configured: no bound
+  }
+  double memory_fullness(const Worker& worker) const {
+    const RunningMean& mean = state_.mean_memory_share[static_cast<std::size_t>(worker.role)];
+    if (mean.samples == 0) return worker.decode_tokens * settings_.routers / memory_tokens(worker);
+    return drift_to_mean(worker, worker.reported_memory_share, mean, kLearningDecayTime) +
+           worker.decode_tokens_since_report / memory_tokens(worker);
+  }
+  // A worker without a report is taken as average, and an old report drifts towards the average.
+  double drift_to_mean(const Worker& worker, double reported, const RunningMean& mean,
+                       Nanos decay_time) const {
+    const double weight = reported < 0 ? 0 : decay(now_ - worker.reported_at, decay_time);
+    return mean.value + weight * (reported - mean.value);
+  }
+  // Guards against KV cache that piles up at prefill workers while decode workers are full: no prefill starts
+  // while this router's requests on their way to decode would not fit its part of the free decode memory.
+  bool decode_memory_available(const RequestState& request) const {
+    if (in_flight() < min_in_flight_limit()) return true;
+    double available = 0, needed = expected_decode_tokens(request);
+    for (const int id : state_.active) {
+      const Stage stage = request_at(id).stage;
+      if (stage == Stage::prefilling || stage == Stage::prefilled)
+        needed += expected_decode_tokens(request_at(id));
     }
-    const std::vector<int>& writers = s_.worker_counts.ready[0];
-    for (std::size_t i = 0; i < writers.size() && room < coming; ++i) {
-      const Worker& w = at(writers[i]);
-      if (w.ejected_until <= now_) room += std::max(0.0, kRoom - fullness(w)) * memory(w) / d_.routers;
+    const std::vector<int>& decode_workers = state_.worker_counts.ready[0];
+    for (std::size_t i = 0; i < decode_workers.size() && available < needed; ++i) {
+      const Worker& worker = worker_at(decode_workers[i]);
+      if (worker.ejected_until <= now_)
+        available += std::max(0.0, kMaxDecodeMemoryShare - memory_fullness(worker)) * memory_tokens(worker) /
+                     settings_.routers;
     }
-    return coming <= room;
-  }
-  double stream_size(const RequestState& q) const { return q.prompt_tokens + q.max_output_tokens / 2; }
-
-  // The one gate. Every send passes it, and every choice is made among what passes it.
-  bool may_send(const RequestState& q, bool reads) const {
-    if (static_cast<int>(q.attempts.size()) + (reads ? 2 : 1) > d_.max_attempts) return false;
-    if (now_ >= q.deadline - 2 * d_.tick - kPulse) return false;  // rule 1
-    return d_.allow_parallel_attempts || std::ranges::none_of(q.attempts, &Attempt::outstanding);
-  }
-  bool may_send(const RequestState& q, const Worker& w, bool reads) const {
-    if (!listed(w)) return false;  // rule 3
-    if (w.ejected_until > now_ && (w.connection_broken || enough_left(w))) return false;
-    if (w.half_open && w.pending_attempts > 0) return false;
-    if (w.backoff_until > now_) return false;
-    if (cold(w) && !cold_turn(q, w)) return false;  // rule 4
-    return reads || stays_in_group(q, w);           // rule 2
-  }
-  // Good until the next call: a rule's condition asks, and what it leads to chooses among the same.
-  const std::vector<int>& candidates(const RequestState& q, bool reads) const {
-    std::vector<int>& usable = usable_;
+    return needed <= available;
+  }
+  double expected_decode_tokens(const RequestState& request) const {
+    return request.prompt_tokens + request.max_output_tokens / 2;
+  }
+
+  // Admission: every send passes may_send(), and every choice is made among the workers that pass it.
+  bool may_send(const RequestState& request, bool is_prefill) const {
+    if (static_cast<int>(request.attempts.size()) + (is_prefill ? 2 : 1) > settings_.max_attempts)
+      return false;
+    if (now_ >= request.deadline - 2 * settings_.tick - kTickInterval) return false;  // rule 1
+    return settings_.allow_parallel_attempts || std::ranges::none_of(request.attempts, &Attempt::outstanding);
+  }
+  bool may_send(const RequestState& request, const Worker& worker, bool is_prefill) const {
+    if (!is_ready(worker)) return false;  // rule 3
+    if (worker.ejected_until > now_ && (worker.connection_broken || enough_not_ejected(worker))) return false;
+    if (worker.half_open && worker.pending_attempts > 0) return false;
+    if (worker.backoff_until > now_) return false;
+    if (is_cold(worker) && !admitted_to_cold_worker(request, worker)) return false;  // rule 4
+    return is_prefill || repeat_allowed_at(request, worker);                         // rule 2
+  }
+  // Workers that may get the request's next attempt. The result is valid until the next call: the condition
+  // of a rule calls this, and the rule's action then chooses from the same list.
+  const std::vector<int>& candidates(const RequestState& request, bool is_prefill) const {
+    std::vector<int>& usable = candidates_;
     usable.clear();
-    if (!may_send(q, reads)) return usable;
-    for (const int w : s_.worker_counts.ready[reads])
-      if (may_send(q, at(w), reads)) usable.push_back(w);
-    // Guards against workers that say full to one storefront or type only, though they have room, and against
-    // those that answer some and leave others without a word.
-    const auto turned_away = [&](int w) {
-      return std::ranges::any_of(q.attempts,
-                                 [&](const Attempt& a) { return a.rejected_or_timed_out && a.worker == w; });
+    if (!may_send(request, is_prefill)) return usable;
+    for (const int i : state_.worker_counts.ready[is_prefill])
+      if (may_send(request, worker_at(i), is_prefill)) usable.push_back(i);
+    // Guards against workers that report being full to one tenant or type only, although they have room, and
+    // against workers that answer some requests and leave others unanswered.
+    const auto failed_this_request = [&](int worker) {
+      return std::ranges::any_of(request.attempts, [&](const Attempt& attempt) {
+        return attempt.rejected_or_timed_out && attempt.worker == worker;
+      });
     };
-    const bool any = std::ranges::any_of(q.attempts, &Attempt::rejected_or_timed_out);
-    if (any && !std::ranges::all_of(usable, turned_away)) std::erase_if(usable, turned_away);
+    const bool any_failed = std::ranges::any_of(request.attempts, &Attempt::rejected_or_timed_out);
+    if (any_failed && !std::ranges::all_of(usable, failed_this_request))
+      std::erase_if(usable, failed_this_request);
     return usable;
   }
-  bool may_have_run(const RequestState& q) const {
-    return q.maybe_ran ||
-           std::ranges::any_of(q.attempts, [](auto& a) { return a.outstanding && !a.is_prefill; });
-  }
-  Nanos repeat_until(const RequestState& q) const {
-    return q.maybe_ran_since + type(q).window - 2 * d_.tick - kHeldUp;
-  }
-  // It may not run twice, or is not recognised as a repeat any more.
-  bool repeat_closed(const RequestState& q) const {
-    const Effect effect = type(q).effect;
-    return effect == Effect::once_only || (effect == Effect::tokened && now_ > repeat_until(q));
-  }
-  bool stays_in_group(const RequestState& q, const Worker& w) const {
-    const TrafficType& t = type(q);
-    if (t.effect == Effect::repeatable || !may_have_run(q)) return true;
-    if (repeat_closed(q)) return false;
-    const Worker& first = at(q.maybe_ran_worker);
-    return t.group == Group::all || (t.group == Group::zone ? w.zone == first.zone : w.cell == first.cell);
-  }
-  // Never so many aside that the rest tips over: the merely ill are called back when under half are left.
-  bool enough_left(const Worker& w) const {
-    int ready = 0, left = 0;
-    for (const int i : s_.worker_counts.ready[w.role == Role::prefill])
-      if (at(i).role == w.role) ++ready, left += at(i).ejected_until <= now_;
-    return left * 2 >= ready;
-  }
-
-  void send(RequestState& q, int worker, bool reads) {
-    Worker& w = at(worker);
-    if (!may_send(q, reads) || !may_send(q, w, reads)) return;
-    Attempt a{.worker = worker, .is_prefill = reads, .outstanding = true, .sent_at = now_};
-    const bool repeats = !reads && may_have_run(q);
-    // Rule 2, where connecting takes long: the decision is in the window, and the request's first byte is not.
-    const Nanos begin_by = repeats && type(q).effect == Effect::tokened ? repeat_until(q) : kNever;
-    if (reads) {
-      const PrefixHolder held = promise(q, worker);
-      a.expected_cached_tokens = held.tokens, a.prefix_recorded_at = held.recorded_at;
-      a.load_tokens = q.prompt_tokens - a.expected_cached_tokens, a.queued_tokens_ahead = w.prefill_tokens;
-      // A promise may fail: its tokens count once, or a flush would make all readers look dead.
-      a.expected_duration = nanos(overhead() + wait(w, per_token(w)) +
-                                  (a.load_tokens + a.expected_cached_tokens / kLate) * per_token(w));
-      w.prefill_tokens += a.load_tokens;
+  bool may_have_run(const RequestState& request) const {
+    return request.maybe_ran || std::ranges::any_of(request.attempts, [](auto& attempt) {
+             return attempt.outstanding && !attempt.is_prefill;
+           });
+  }
+  Nanos repeat_deadline(const RequestState& request) const {
+    return request.maybe_ran_since + type_of(request).window - 2 * settings_.tick - kSendDelayMargin;
+  }
+  // Whether the request must not run twice, or a repeat would no longer be recognised as one.
+  bool repeat_forbidden(const RequestState& request) const {
+    const Effect effect = type_of(request).effect;
+    return effect == Effect::once_only || (effect == Effect::tokened && now_ > repeat_deadline(request));
+  }
+  bool repeat_allowed_at(const RequestState& request, const Worker& worker) const {
+    const TrafficType& traffic_type = type_of(request);
+    if (traffic_type.effect == Effect::repeatable || !may_have_run(request)) return true;
+    if (repeat_forbidden(request)) return false;
+    const Worker& first = worker_at(request.maybe_ran_worker);
+    return traffic_type.group == Group::all ||
+           (traffic_type.group == Group::zone ? worker.zone == first.zone : worker.cell == first.cell);
+  }
+  // Limits ejection, so that the remaining workers are not overloaded: while fewer than half of a role's
+  // workers remain, ejected ones whose connections are intact are used again.
+  bool enough_not_ejected(const Worker& worker) const {
+    int ready = 0, not_ejected = 0;
+    for (const int i : state_.worker_counts.ready[worker.role == Role::prefill])
+      if (worker_at(i).role == worker.role) {
+        ++ready;
+        not_ejected += worker_at(i).ejected_until <= now_;
+      }
+    return not_ejected * 2 >= ready;
+  }
+
+  void send(RequestState& request, int worker_index, bool is_prefill) {
+    Worker& worker = worker_at(worker_index);
+    if (!may_send(request, is_prefill) || !may_send(request, worker, is_prefill)) return;
+    Attempt attempt{.worker = worker_index, .is_prefill = is_prefill, .outstanding = true, .sent_at = now_};
+    const bool repeats = !is_prefill && may_have_run(request);
+    // Rule 2 when connecting is slow: the decision lies within the window, the first byte of the request may
+    // not.
+    const Nanos write_deadline =
+        repeats && type_of(request).effect == Effect::tokened ? repeat_deadline(request) : kNever;
+    if (is_prefill) {
+      const PrefixHolder holder = recorded_prefix(request, worker_index);
+      attempt.expected_cached_tokens = holder.tokens;
+      attempt.prefix_recorded_at = holder.recorded_at;
+      attempt.load_tokens = request.prompt_tokens - attempt.expected_cached_tokens;
+      attempt.queued_tokens_ahead = worker.prefill_tokens;
+      // The cache may turn out to be gone. The overdue time has room to compute the cached tokens once, as
+      // otherwise a cache flush would make all prefill workers look dead.
+      attempt.expected_duration =
+          nanos(prefill_overhead() + wait_seconds(worker, seconds_per_token(worker)) +
+                (attempt.load_tokens + attempt.expected_cached_tokens / kOverdueFactor) *
+                    seconds_per_token(worker));
+      worker.prefill_tokens += attempt.load_tokens;
     } else {
-      a.load_tokens = stream_size(q);
-      a.expected_duration = nanos(s_.mean_first_token_seconds);
-      w.decode_tokens += a.load_tokens;
-      w.decode_tokens_since_report += a.load_tokens;
-      if (!repeats) q.maybe_ran_worker = worker, q.maybe_ran_since = now_;
+      attempt.load_tokens = expected_decode_tokens(request);
+      attempt.expected_duration = nanos(state_.mean_first_token_seconds);
+      worker.decode_tokens += attempt.load_tokens;
+      worker.decode_tokens_since_report += attempt.load_tokens;
+      if (!repeats) {
+        request.maybe_ran_worker = worker_index;
+        request.maybe_ran_since = now_;
+      }
     }
-    ++s_.recent_sends[reads], ++w.pending_attempts;
-    w.next_overdue_at = std::min(w.next_overdue_at, now_ + late_after(a));
-    watch(worker);
-    q.attempts.push_back(a);
-    const bool last = static_cast<int>(q.attempts.size()) + (reads ? 2 : 1) > d_.max_attempts;
-    out_.send(q.id, worker, {last ? 0 : late_after(a), runs_for(q, a), begin_by});
+    ++state_.recent_sends[is_prefill];
+    ++worker.pending_attempts;
+    worker.next_overdue_at = std::min(worker.next_overdue_at, now_ + overdue_after(attempt));
+    watch(worker_index);
+    request.attempts.push_back(attempt);
+    const bool last =
+        static_cast<int>(request.attempts.size()) + (is_prefill ? 2 : 1) > settings_.max_attempts;
+    actions_.send(request.id, worker_index,
+                  {last ? 0 : overdue_after(attempt), assumed_run_time(request, attempt), write_deadline});
   }
 
-  // The holder table.
+  // The table of prefix holders: which workers have cached which sessions and prefixes.
 
-  void hold(std::uint64_t key, int worker, double tokens) {
+  void record_prefix(std::uint64_t key, int worker, double tokens) {
     if (key == 0 || tokens <= 0) return;
-    std::vector<PrefixHolder>& list = s_.prefix_holders[key];
-    for (PrefixHolder& h : list)
-      if (h.worker == worker) return void(h = {worker, tokens, now_});
-    list.push_back({worker, tokens, now_});
-  }
-  // The most that the table says this worker has kept of the prompt.
-  PrefixHolder promise(const RequestState& q, int worker) const {
-    PrefixHolder most{worker, 0, 0};
-    for (const std::uint64_t key : {q.session, q.prefix_hash}) {
-      const auto it = key == 0 ? s_.prefix_holders.end() : s_.prefix_holders.find(key);
-      if (it == s_.prefix_holders.end()) continue;
-      for (const PrefixHolder& h : it->second)
-        if (h.worker == worker && h.recorded_at >= at(worker).cache_valid_since &&
-            now_ - h.recorded_at < kKeptFor)
-          if (h.tokens > most.tokens) most = {worker, std::min(h.tokens, q.prompt_tokens), h.recorded_at};
+    std::vector<PrefixHolder>& holders = state_.prefix_holders[key];
+    for (PrefixHolder& holder : holders)
+      if (holder.worker == worker) return void(holder = {worker, tokens, now_});
+    holders.push_back({worker, tokens, now_});
+  }
+  // The longest prefix of the prompt that the table lists at this worker.
+  PrefixHolder recorded_prefix(const RequestState& request, int worker) const {
+    PrefixHolder longest{worker, 0, 0};
+    for (const std::uint64_t key : {request.session, request.prefix_hash}) {
+      const auto it = key == 0 ? state_.prefix_holders.end() : state_.prefix_holders.find(key);
+      if (it == state_.prefix_holders.end()) continue;
+      for (const PrefixHolder& holder : it->second)
+        if (holder.worker == worker && holder.recorded_at >= worker_at(worker).cache_valid_since &&
+            now_ - holder.recorded_at < kPrefixHolderLifetime)
+          if (holder.tokens > longest.tokens)
+            longest = {worker, std::min(holder.tokens, request.prompt_tokens), holder.recorded_at};
     }
-    return most;
-  }
-  void sweep_holders() {
-    if (now_ - s_.holders_swept_at < kKeptFor / 4) return;
-    s_.holders_swept_at = now_;
-    for (std::size_t i = 0; i < 2; ++i) s_.recent_sends[i] /= 2, s_.recent_answers[i] /= 2;
-    std::erase_if(s_.prefix_holders, [&](const auto& entry) {
-      return std::none_of(entry.second.begin(), entry.second.end(),
-                          [&](const PrefixHolder& h) { return now_ - h.recorded_at < kKeptFor; });
+    return longest;
+  }
+  // Also halves the counts of recent sends and answers.
+  void expire_prefix_holders() {
+    if (now_ - state_.holders_swept_at < kPrefixHolderLifetime / 4) return;
+    state_.holders_swept_at = now_;
+    for (std::size_t i = 0; i < 2; ++i) {
+      state_.recent_sends[i] /= 2;
+      state_.recent_answers[i] /= 2;
+    }
+    std::erase_if(state_.prefix_holders, [&](const auto& entry) {
+      return std::none_of(entry.second.begin(), entry.second.end(), [&](const PrefixHolder& holder) {
+        return now_ - holder.recorded_at < kPrefixHolderLifetime;
+      });
     });
   }
 
   // Small helpers.
 
-  // By chance, so that the smallest part of a share means something too.
-  bool take_share(int tenant) {
-    if (tenant >= static_cast<int>(d_.tenant_rates.size())) return true;
+  // Counts the request and draws whether it is within its tenant's share. The draw is random, so that a share
+  // of much less than one request has an effect too.
+  bool take_tenant_share(int tenant) {
+    if (tenant >= static_cast<int>(settings_.tenant_rates.size())) return true;
     const auto i = static_cast<std::size_t>(tenant);
-    const double keep = decay(now_ - s_.tenant_updated_at[i], kKeptFor);
-    s_.tenant_arrivals[i] = s_.tenant_arrivals[i] * keep + 1;
-    s_.tenant_updated_at[i] = now_;
-    return chance() * s_.tenant_arrivals[i] <= 1 + d_.tenant_rates[i] / d_.routers * seconds(kKeptFor);
-  }
-  double least_limit() const { return kLeastLimit * std::max(1.0, readers() / d_.routers); }
-  void cut_limit() {
-    if (now_ - s_.limit_cut_at >= kCutEvery)
-      s_.in_flight_limit = std::max(least_limit(), s_.in_flight_limit * kCut), s_.limit_cut_at = now_;
-  }
-  double chance() {  // permuted congruential generator, 32 bits out
-    const std::uint64_t old = s_.random_state;
-    s_.random_state = old * 6364136223846793005u + s_.random_increment;
-    const auto mixed = static_cast<std::uint32_t>(((old >> 18) ^ old) >> 27);
-    const auto turn = static_cast<std::uint32_t>(old >> 59);
-    return static_cast<double>(mixed >> turn | mixed << ((32 - turn) & 31)) / 4294967296.0;
-  }
-  double in_flight() const { return s_.in_flight; }
-  static bool flies(Stage stage) {
+    const double remaining = decay(now_ - state_.tenant_updated_at[i], kPrefixHolderLifetime);
+    state_.tenant_arrivals[i] = state_.tenant_arrivals[i] * remaining + 1;
+    state_.tenant_updated_at[i] = now_;
+    return random() * state_.tenant_arrivals[i] <=
+           1 + settings_.tenant_rates[i] / settings_.routers * seconds(kPrefixHolderLifetime);
+  }
+  double min_in_flight_limit() const {
+    return kMinInFlightLimit * std::max(1.0, prefill_worker_count() / settings_.routers);
+  }
+  void reduce_in_flight_limit() {
+    if (now_ - state_.limit_cut_at >= kMinLimitReductionInterval) {
+      state_.in_flight_limit =
+          std::max(min_in_flight_limit(), state_.in_flight_limit * kLimitReductionFactor);
+      state_.limit_cut_at = now_;
+    }
+  }
+  // Uniform in [0, 1): a permuted congruential generator with 32 bits of output.
+  double random() {
+    const std::uint64_t old = state_.random_state;
+    state_.random_state = old * 6364136223846793005u + state_.random_increment;
+    const auto shifted = static_cast<std::uint32_t>(((old >> 18) ^ old) >> 27);
+    const auto rotation = static_cast<std::uint32_t>(old >> 59);
+    return static_cast<double>(shifted >> rotation | shifted << ((32 - rotation) & 31)) / 4294967296.0;
+  }
+  double in_flight() const { return state_.in_flight; }
+  static bool counts_as_in_flight(Stage stage) {
     return stage == Stage::prefilling || stage == Stage::prefilled || stage == Stage::decoding;
   }
-  void enter(RequestState& q, Stage stage) {
-    s_.in_flight += flies(stage) - flies(q.stage);
-    q.stage = stage;
-  }
-  // Rule 5: for so long a read is taken as running and its state as not there yet. Only in a jam, until it is late: letting go
-  // of it would void it, and the reads that are made in its place lengthen the jam. Never where the request may not be repeated.
-  Nanos runs_for(const RequestState& q, const Attempt& a) const {
-    if (type(q).effect == Effect::once_only) return 0;
-    return a.expected_duration > d_.kv_hold_limit / 2 ? late_after(a) : 0;
-  }
-  Nanos late_after(const Attempt& a) const { return kGrace + nanos(kLate * seconds(a.expected_duration)); }
-  bool open(const RequestState& q) const { return q.stage != Stage::streaming && q.stage != Stage::finished; }
-  bool listed(const Worker& w) const { return w.known && w.status == WorkerStatus::ready; }
-  bool serves(const Worker& w, bool reads) const { return reads == (w.role == Role::prefill); }
-  double readers() const { return static_cast<double>(s_.worker_counts.ready[1].size()); }
-  const TrafficType& type(const RequestState& q) const { return d_.types[static_cast<std::size_t>(q.type)]; }
-  Worker& at(int worker) { return s_.workers[static_cast<std::size_t>(worker)]; }
-  const Worker& at(int worker) const { return s_.workers[static_cast<std::size_t>(worker)]; }
-  RequestState& sequence(int seq) { return s_.requests[static_cast<std::size_t>(seq)]; }
-  const RequestState& sequence(int seq) const { return s_.requests[static_cast<std::size_t>(seq)]; }
-
-  const PolicySettings d_;
-  Actions& out_;
+  void set_stage(RequestState& request, Stage stage) {
+    state_.in_flight += counts_as_in_flight(stage) - counts_as_in_flight(request.stage);
+    request.stage = stage;
+  }
+  // Rule 5: how long a prefill is assumed to be running, so that it holds no KV cache yet. Only under
+  // congestion, where it is assumed to run until it is overdue: an early release would void it, and the
+  // prefills that replace it would add to the congestion. Never for a request that must not be repeated.
+  Nanos assumed_run_time(const RequestState& request, const Attempt& attempt) const {
+    if (type_of(request).effect == Effect::once_only) return 0;
+    return attempt.expected_duration > settings_.kv_hold_limit / 2 ? overdue_after(attempt) : 0;
+  }
+  Nanos overdue_after(const Attempt& attempt) const {
+    return kOverdueGrace + nanos(kOverdueFactor * seconds(attempt.expected_duration));
+  }
+  bool awaits_stream(const RequestState& request) const {
+    return request.stage != Stage::streaming && request.stage != Stage::finished;
+  }
+  bool is_ready(const Worker& worker) const { return worker.known && worker.status == WorkerStatus::ready; }
+  bool serves(const Worker& worker, bool is_prefill) const {
+    return is_prefill == (worker.role == Role::prefill);
+  }
+  double prefill_worker_count() const { return static_cast<double>(state_.worker_counts.ready[1].size()); }
+  const TrafficType& type_of(const RequestState& request) const {
+    return settings_.types[static_cast<std::size_t>(request.type)];
+  }
+  Worker& worker_at(int worker) { return state_.workers[static_cast<std::size_t>(worker)]; }
+  const Worker& worker_at(int worker) const { return state_.workers[static_cast<std::size_t>(worker)]; }
+  RequestState& request_at(int request) { return state_.requests[static_cast<std::size_t>(request)]; }
+  const RequestState& request_at(int request) const {
+    return state_.requests[static_cast<std::size_t>(request)];
+  }
+
+  const PolicySettings settings_;
+  Actions& actions_;
   Nanos now_;
-  PolicyState s_;
-  // Used again and again, for room: who may be sent to, who leads, who is near the best and its weight.
-  mutable std::vector<int> usable_;
-  std::vector<int> holders_;
-  std::vector<std::pair<int, double>> near_;
+  PolicyState state_;
+  // Buffers that are kept between calls to avoid allocations.
+  mutable std::vector<int> candidates_;            // result of candidates()
+  std::vector<int> cache_choices_;                 // workers whose cached prefix outweighs their load
+  std::vector<std::pair<int, double>> near_best_;  // worker and weight, of pick_near_best()
 };
 
 }  // namespace
 
-std::unique_ptr<Policy> make_policy(const PolicySettings& deployment, std::uint64_t seed, Nanos now,
+std::unique_ptr<Policy> make_policy(const PolicySettings& settings, std::uint64_t seed, Nanos now,
                                     Actions& actions) {
-  return std::make_unique<Router>(deployment, seed, now, actions);
+  return std::make_unique<RoutingPolicy>(settings, seed, now, actions);
 }
 
 }  // namespace cressrill
--- a/src/policy.h
+++ b/src/policy.h
@@ -1,5 +1,6 @@
-// The interface of the decision module: calls in (Policy) and decisions out (Actions). Times are whole
-// nanoseconds on one clock; sequences and workers are small indices that the host hands out and takes back.
+// The interface of the routing policy: calls into it (Policy) and its decisions (Actions). Times are whole
+// nanoseconds on one clock. Requests and workers are small indices, which the host assigns and may reuse once
+// they are forgotten.
 #pragma once
 
 #include <cstdint>
@@ -12,57 +13,67 @@
 
 // The times that bound one attempt.
 struct AttemptLimits {
-  Nanos timeout{};  // after its decision; 0: until the client gives up
-  Nanos
-      assumed_run_time{};  // so long it is taken as running, by what is known of its worker; 0: it may end at once
-  Nanos write_deadline{
-      kNever};  // its request must have been written by then: a repeat is not recognised later
+  Nanos timeout{};               // after the decision; 0: until the request's deadline
+  Nanos assumed_run_time{};      // how long a prefill is assumed to run at its worker; 0: it may end at once
+  Nanos write_deadline{kNever};  // a request written later is no longer recognised as a repeat
 };
 
+// The decisions of a policy, which the host carries out.
 class Actions {
  public:
   virtual ~Actions() = default;
-  virtual void send(int seq, int worker, AttemptLimits limits) = 0;
-  virtual void release(int seq) = 0;
-  virtual void cancel(int seq, int attempt) = 0;
-  virtual void reject(int seq, Nanos retry_after) = 0;
-  virtual void abort(int seq) = 0;
+  // Starts the request's next attempt. Attempts are numbered from 0 in this order.
+  virtual void send(int request, int worker, AttemptLimits limits) = 0;
+  // Releases the KV cache that workers may hold of the request.
+  virtual void release(int request) = 0;
+  virtual void cancel(int request, int attempt) = 0;
+  // Answers the client that the request was not served and may be repeated; retry_after 0: without a time.
+  virtual void reject(int request, Nanos retry_after) = 0;
+  // Ends the request without inviting a repeat, as it may have run.
+  virtual void abort(int request) = 0;
   virtual void subscribe() = 0;
+  // Requests a call of Policy::on_wakeup() after that time.
   virtual void request_wakeup(Nanos after) = 0;
-  virtual void forget_request(int seq) = 0;  // the index may be handed out again
-  virtual void forget_worker(int worker) = 0;
+  virtual void forget_request(int request) = 0;  // its index may be reused
+  virtual void forget_worker(int worker) = 0;    // its index may be reused
 };
 
-// What is believed to be out and held at a worker, for a check against what is so.
+// What the policy expects to be at a worker, to be compared with what is there.
 struct ExpectedLoad {
-  int attempts{};    // attempts out, neither read nor begun to stream
-  int kv_entries{};  // that wait there
+  int attempts{};    // outstanding, without a finished prefill or a started stream
+  int kv_entries{};  // requests whose KV cache is held there
 };
 
+// Decides on every input. Each call passes its decisions to Actions before it returns.
 class Policy {
  public:
   virtual ~Policy() = default;
   virtual ExpectedLoad expected_load(int) const { return {}; }
+  // A worker list consists of list_begins(), worker_listed() for each worker, and list_ends(). complete:
+  // workers that are not in the list are gone.
   virtual void list_begins(Nanos now, bool complete) = 0;
-  // identity: the same number at every router, with no meaning of its own.
-  virtual void worker_listed(int worker, std::uint64_t identity, WorkerStatus standing, Nanos started,
+  // identity: the same number at every router; its value has no other meaning.
+  virtual void worker_listed(int worker, std::uint64_t identity, WorkerStatus status, Nanos started_at,
                              int kind, int zone, int cell) = 0;
   virtual void list_ends() = 0;
   virtual void list_failed(Nanos now) = 0;
-  virtual void request_arrived(Nanos now, int seq, int type, int tenant, std::uint64_t session,
-                               std::uint64_t beginning, double prompt, double beginning_tokens,
-                               double max_out, Nanos abandon_at) = 0;
-  virtual void client_left(Nanos now, int seq) = 0;
-  virtual void stream_started(Nanos now, int seq, int attempt, Nanos took) = 0;
-  virtual void attempt_ended(Nanos now, int seq, int attempt, Outcome outcome, Nanos took, bool closed,
-                             double kept, const LoadReport& report) = 0;
+  virtual void request_arrived(Nanos now, int request, int type, int tenant, std::uint64_t session,
+                               std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
+                               double max_output_tokens, Nanos deadline) = 0;
+  virtual void client_left(Nanos now, int request) = 0;
+  virtual void stream_started(Nanos now, int request, int attempt, Nanos elapsed) = 0;
+  // closed: the client has its final answer, or has left. cached_tokens: prompt tokens that a prefill found
+  // in the worker's cache.
+  virtual void attempt_ended(Nanos now, int request, int attempt, Outcome outcome, Nanos elapsed, bool closed,
+                             double cached_tokens, const LoadReport& report) = 0;
   virtual void on_wakeup(Nanos now) = 0;
-  // A worker has confirmed a release that the decisions did not order: nothing is held for that sequence, unless a write
-  // that is out has arrived and waits for it; and a read that is out will leave nothing.
-  virtual void kv_released(Nanos, int /*seq*/) {}
+  // A worker has confirmed a release that the policy did not order: nothing is held for that request any
+  // more, except for an outstanding decode attempt that has arrived and waits for it, and an outstanding
+  // prefill will leave nothing.
+  virtual void kv_released(Nanos, int /*request*/) {}
 };
 
-std::unique_ptr<Policy> make_policy(const PolicySettings& deployment, std::uint64_t seed, Nanos now,
+std::unique_ptr<Policy> make_policy(const PolicySettings& settings, std::uint64_t seed, Nanos now,
                                     Actions& actions);
 
 }  // namespace cressrill
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,5 @@
-// Plain types, grouped by how long they live: a schedule attempt, a sequence, a worker, the instance.
+// The state of a routing policy as plain types, grouped by lifetime: an attempt, a request, a worker, the
+// policy.
 #pragma once
 
 #include <cstdint>
@@ -30,18 +31,21 @@
   not_sent,
 };
 
+// The load that a worker reports with an answer.
 struct LoadReport {
   bool received{};
-  double requests{-1};      // held by the worker, waiting states too; negative where not reported
-  double memory_share{-1};  // negative where not reported
+  double requests{-1};      // at the worker, including those whose KV cache is held; negative: not reported
+  double memory_share{-1};  // negative: not reported
 };
 
-struct RunningMean {  // smoothed, the first samples in full
+// An exponentially smoothed mean; the first samples have equal weight.
+struct RunningMean {
   double value{};
   double samples{};
 };
 
-struct LinearFit {  // decayed sums for a line through (tokens, seconds)
+// Decayed sums for a line fitted through points of (tokens, seconds).
+struct LinearFit {
   double weight{};
   double sum_x{};
   double sum_y{};
@@ -54,16 +58,16 @@
   int worker{};
   bool is_prefill{};
   bool outstanding{};
-  bool stream_started{};         // its stream flows
-  bool rejected_or_timed_out{};  // its worker was full, or kept it waiting too long
-  bool abandoned{};              // cancelled, or no longer waited for
-  bool may_have_left_kv{};       // a read that may have left a state without a word
+  bool stream_started{};
+  bool rejected_or_timed_out{};
+  bool abandoned{};         // cancelled, or no longer waited for
+  bool may_have_left_kv{};  // a prefill that may have left KV cache without reporting it
   Nanos sent_at{};
-  Nanos expected_duration{};        // how long it should take
-  double load_tokens{};             // work it lays on the worker
-  double queued_tokens_ahead{};     // own tokens that waited at the reader before it
-  double expected_cached_tokens{};  // tokens that the table expected to be kept
-  Nanos prefix_recorded_at{};
+  Nanos expected_duration{};
+  double load_tokens{};             // load that it adds to the worker
+  double queued_tokens_ahead{};     // this router's tokens that were queued at the prefill worker before it
+  double expected_cached_tokens{};  // by the table of prefix holders
+  Nanos prefix_recorded_at{};       // time of the table entry behind expected_cached_tokens
 };
 
 struct RequestState {
@@ -71,8 +75,8 @@
   Stage stage{};
   int type{};
   bool within_tenant_share{};
-  double admission_draw{};   // drawn once, decides which cold workers it may go to
-  double uncached_tokens{};  // tokens that no reader is thought to hold
+  double admission_draw{};   // random, drawn once: decides which cold workers may get the request
+  double uncached_tokens{};  // prompt tokens that no prefill worker is expected to have cached
   std::uint64_t session{};
   std::uint64_t prefix_hash{};
   double prompt_tokens{};
@@ -80,15 +84,15 @@
   double max_output_tokens{};
   Nanos arrived_at{};
   Nanos slo_deadline{};
-  Nanos dequeued_at{};  // when it left the line
+  Nanos dequeued_at{};  // when its latest prefill was started
   Nanos deadline{};
-  Nanos kv_held_since{};     // last outcome, while a state may be held; kNever: nothing held
-  int prefill_worker{-1};    // where the state waits
-  int maybe_ran_worker{-1};  // writer of the first attempt not proved idle
-  Nanos maybe_ran_since{};
-  bool maybe_ran{};               // some ended write attempt may have run
-  bool parked{};                  // not among the live ones until something happens to it
-  std::uint64_t arrival_order{};  // of arrival
+  Nanos kv_held_since{};     // latest outcome while KV cache may be held; kNever: none is held
+  int prefill_worker{-1};    // holds the KV cache
+  int maybe_ran_worker{-1};  // decode worker of the first attempt that may have run
+  Nanos maybe_ran_since{};   // when that attempt was sent
+  bool maybe_ran{};          // a decode attempt has ended and may have run
+  bool parked{};             // not among the active requests until an input concerns it or it is due
+  std::uint64_t arrival_order{};
   std::vector<Attempt> attempts{};
 };
 
@@ -100,74 +104,77 @@
   int kind{};
   int zone{};
   int cell{};
-  Nanos started_at{};         // as listed
-  Nanos cache_valid_since{};  // what it kept before is not believed in
+  Nanos started_at{};         // by the worker list
+  Nanos cache_valid_since{};  // earlier entries of the table of prefix holders no longer count
   Nanos gone_since{};         // 0: it is listed
-  Nanos cold_since{};         // start by the list or guessed from symptoms; kNever: warm
-  Nanos last_heard{};         // last sign of life
-  bool connection_broken{};   // a connection broke since it was last heard,
-  bool was_unreachable{};     // and then none could be made
+  Nanos cold_since{};         // its start, listed or inferred from failures; kNever: warm
+  Nanos last_heard{};
+  bool connection_broken{};  // a connection has broken since the worker last answered
+  bool was_unreachable{};    // after a connection had broken, another could not be opened
   Nanos ejected_until{};
-  bool half_open{};        // back from being aside, one sequence at a time until it answers
-  double failure_score{};  // failures, ageing with every success
-  Nanos backoff_until{};
-  int pending_attempts{};                 // own attempts out, neither read nor begun to stream
-  int kv_entries{};                       // own states that wait here
-  double prefill_tokens{};                // own tokens waiting to be read here
-  double decode_tokens{};                 // own tokens held or on their way here
-  mutable Nanos next_overdue_at{kNever};  // no attempt that is out here and unheard is late before
-  bool watched{};                         // among those that a rule may act on
-  double decode_tokens_since_report{};    // of these, sent since the last report
+  bool half_open{};         // back from ejection: one attempt at a time until it answers
+  double failure_score{};   // rises with each failure, halved by each success
+  Nanos backoff_until{};    // no sends before: it was full or could not be reached
+  int pending_attempts{};   // this router's attempts that have neither ended nor started to stream
+  int kv_entries{};         // this router's requests whose KV cache is held here
+  double prefill_tokens{};  // this router's tokens that wait for their prefill here
+  double decode_tokens{};   // this router's tokens held here or on their way here
+  mutable Nanos next_overdue_at{kNever};  // no unanswered attempt here becomes overdue before
+  bool watched{};                         // among the workers that a rule may act on
+  double decode_tokens_since_report{};    // part of decode_tokens that was sent since the last load report
   Nanos reported_at{};
   double reported_requests{-1};
   double own_requests_at_report{};
   double reported_memory_share{-1};
-  double measured_prefill_seconds{};  // decayed sums: seconds its reads took, and should have taken
-  double predicted_prefill_seconds{};
+  double measured_prefill_seconds{};   // decayed sum
+  double predicted_prefill_seconds{};  // decayed sum, by the fit over all prefill workers
   Nanos speed_updated_at{};
-  double seconds_per_token{}, load_score{}, cache_advantage{},
-      memory_fullness{};  // while one choice among the workers is made
+  // Valid only while a choice among the workers is made.
+  double seconds_per_token{}, load_score{}, cache_advantage{}, memory_fullness{};
 };
 
+// A worker that has cached the tokens of a session or shared prefix.
 struct PrefixHolder {
   int worker{};
   double tokens{};
   Nanos recorded_at{};
 };
 
-// Who is listed, counted when a list ends: [0] for writers and mixed workers, [1] for readers.
+// The ready workers, counted at the end of each worker list: [0] decode and mixed workers, [1] prefill
+// workers.
 struct WorkerCounts {
-  std::vector<int> ready[2];  // by small index, ascending
+  std::vector<int> ready[2];  // indices, ascending
   std::unordered_map<int, double> in_zone[2];
   std::unordered_map<int, std::unordered_map<int, double>> in_cell[2];  // by zone, then cell
 };
 
 struct PolicyState {
-  std::vector<RequestState> requests;  // by small index
-  std::vector<int> active;             // those that a rule may act on, in order of arrival
-  std::size_t parked{};                // and how many more there are,
-  std::vector<int> queue;              // of which these wait for a read,
-  Nanos queue_next_timeout{kNever};    // none of them with its patience at an end before this,
-  Nanos queue_next_deadline{kNever};   // or abandoned before this
+  std::vector<RequestState> requests;  // by index
+  std::vector<int> active;             // requests that a rule may act on, in order of arrival
+  std::size_t parked{};                // number of requests that are not active
+  std::vector<int> queue;              // parked requests that wait for a prefill
+  Nanos queue_next_timeout{kNever};    // none in the queue exceeds its queue time before
+  Nanos queue_next_deadline{kNever};   // none in the queue has an earlier deadline
   std::uint64_t arrivals{};
-  int in_flight{};              // sequences that are reading, read or writing
-  std::vector<Worker> workers;  // by small index
-  std::vector<int> watched;     // those with attempts pending, or failures
+  int in_flight{};              // requests from the start of their prefill to their first token
+  std::vector<Worker> workers;  // by index
+  std::vector<int> watched;     // workers with pending attempts or enough failures to be ejected
   WorkerCounts worker_counts;
-  std::unordered_map<std::uint64_t, std::vector<PrefixHolder>> prefix_holders;
-  double in_flight_limit{};            // sequences in flight before their first token
-  RunningMean mean_memory_share[3];    // of the workers heard, by role,
-  RunningMean mean_other_requests[3];  // and what other routers held there
-  LinearFit prefill_time_fit{};        // what reads take, all readers
-  double mean_prefill_tokens{};        // smoothed work of one read
+  std::unordered_map<std::uint64_t, std::vector<PrefixHolder>> prefix_holders;  // by session or prefix hash
+  double in_flight_limit{};
+  RunningMean mean_memory_share[3];    // reported, by role
+  RunningMean mean_other_requests[3];  // requests of other routers at a worker, by role
+  LinearFit prefill_time_fit{};        // over all prefill workers
+  double mean_prefill_tokens{};        // smoothed uncached tokens of a prefill
   Nanos limit_cut_at{};
-  double latency_pressure{};  // smoothed share of the latency SLO from the read's start to the first token
+  // Smoothed share of the latency SLO that passes from the start of the prefill to the first token.
+  double latency_pressure{};
   Nanos holders_swept_at{};
-  double mean_first_token_seconds{};    // smoothed wait for a first token at a writer
-  double mean_prefill_seconds{};        // smoothed time of a read
-  double recent_sends[2]{};             // ageing counts of sends to writers and to readers
-  double recent_answers[2]{};           // and of those that brought a first token or a read
-  std::vector<double> tenant_arrivals;  // ageing count of each tenant's sequences
+  double mean_first_token_seconds{};    // smoothed wait for the first token at a decode worker
+  double mean_prefill_seconds{};        // smoothed duration of a prefill
+  double recent_sends[2]{};             // decayed counts of attempts sent: [0] decode, [1] prefill
+  double recent_answers[2]{};           // decayed counts of those that brought a first token or a prefill
+  std::vector<double> tenant_arrivals;  // decayed count of each tenant's requests
   std::vector<Nanos> tenant_updated_at;
   Nanos subscribed_at{};
   Nanos next_wakeup_at{};
