--- a/src/release_plan.cpp
+++ b/src/release_plan.cpp
@@ -7,9 +7,11 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
-constexpr int kCloseCalls = 16;  // that follow each other closely,
-constexpr int kDoubled = 4;      // then the pause doubles after so many,
-constexpr int kMostDoubled = 5;  // so many times at the most
+// Calls with the shortest delay between them.
+constexpr int kCallsAtShortestDelay = 16;
+// Further calls after which the delay doubles each time.
+constexpr int kCallsPerDoubling = 4;
+constexpr int kMaxDoublings = 5;
 
 }  // namespace
 
@@ -24,9 +26,12 @@
 }
 
 Nanos delay_before_next_call(Nanos limit, int calls) {
-  const Nanos step = std::max(limit / 40, 5 * kMs);
-  const int doubled = calls < kCloseCalls ? 0 : std::min((calls - kCloseCalls) / kDoubled + 1, kMostDoubled);
-  return step << doubled;
+  const Nanos shortest = std::max(limit / 40, 5 * kMs);
+  const int doublings =
+      calls < kCallsAtShortestDelay
+          ? 0
+          : std::min((calls - kCallsAtShortestDelay) / kCallsPerDoubling + 1, kMaxDoublings);
+  return shortest << doublings;
 }
 
 Nanos release_call_timeout(Nanos limit) { return std::max(limit / 2, 300 * kMs); }
