--- a/simhost/frame.cpp
+++ b/simhost/frame.cpp
@@ -5,8 +5,8 @@
 namespace cressrill::simhost {
 
 namespace {
-constexpr std::size_t kActionSize = 24;
-constexpr std::uint32_t kFrameLimit = 1u << 30;
+constexpr std::size_t kRecordSize = 24;
+constexpr std::uint32_t kMaxFrameSize = 1u << 30;  // bytes
 
 void append(std::string& to, std::uint64_t value, int width) {
   for (int shift = (width - 1) * 8; shift >= 0; shift -= 8) to.push_back(static_cast<char>(value >> shift));
@@ -38,9 +38,9 @@
   unsigned char head[4];
   in.read(reinterpret_cast<char*>(head), 4);
   if (in.gcount() == 0) return false;
-  if (in.gcount() < 4) throw WireError("batch length: input ends inside it");
+  if (in.gcount() < 4) throw WireError("batch length: input ends within the field");
   const auto size = static_cast<std::uint32_t>(ByteView(head, 4, "batch length").unsigned_at(0, 4));
-  if (size > kFrameLimit)
+  if (size > kMaxFrameSize)
     throw WireError("batch length: " + std::to_string(size) + " bytes is over the limit");
   frame.resize(size);
   in.read(reinterpret_cast<char*>(frame.data()), static_cast<std::streamsize>(size));
@@ -50,7 +50,7 @@
   return true;
 }
 
-void Reply::pad_record() { body_.resize(count_ * kActionSize, '\0'); }
+void Reply::pad_record() { body_.resize(count_ * kRecordSize, '\0'); }
 
 Reply& Reply::begin_record(int code) {
   pad_record();
--- a/simhost/frame.h
+++ b/simhost/frame.h
@@ -1,4 +1,4 @@
-// Frames of the simulator's wire: bounded big-endian reading and writing.
+// Frames of the simulator's wire protocol: bounds-checked big-endian reading and writing.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// A stretch of bytes with a name for messages; every read is checked.
+// A view of bytes that it does not own, with a name for error messages. Every read is bounds-checked and
+// throws WireError.
 class ByteView {
  public:
   ByteView(const unsigned char* data, std::size_t size, std::string name)
@@ -34,15 +35,18 @@
   std::string name_;
 };
 
-// Reads one frame behind its length field; false at a clean end of input.
+// Reads one frame without its length field. Returns false at the end of the input; throws WireError if it
+// ends within a frame, or if the frame is too long.
 bool read_frame(std::istream& in, std::vector<unsigned char>& frame);
 
+// Collects the records of one reply.
 class Reply {
  public:
-  // Starts a record; the fields follow in order, the rest of its 24 bytes is zero.
+  // Starts a record. Its fields are appended in order; the rest of its 24 bytes is zero.
   Reply& begin_record(int code);
   Reply& put_unsigned(std::uint64_t value, int width);
   Reply& put_f64(double value);
+  // Writes the records as one frame, which answers the batch of that number, and clears them.
   void write(std::ostream& out, std::uint32_t batch);
 
  private:
--- a/simhost/host.h
+++ b/simhost/host.h
@@ -1,4 +1,5 @@
-// Hosts the instances of one process: wire ids to small indices and back, one Policy for each instance.
+// Hosts the router instances of one process, each with its own Policy. Maps ids on the wire to indices and
+// back.
 #pragma once
 
 #include <map>
@@ -15,12 +16,13 @@
  public:
   BatchHandler();
   ~BatchHandler();
-  // Takes one batch (without its length field) and leaves the answer in the reply; returns its number.
+  // Handles one batch (a frame without its length field) and adds the decisions to the reply. Returns the
+  // number of the batch. Throws WireError on malformed input.
   std::uint32_t handle(const std::vector<unsigned char>& frame, Reply& reply);
 
  private:
-  std::map<int, std::unique_ptr<RouterInstance>> routers_;
-  std::map<int, std::vector<unsigned char>> lists_;
+  std::map<int, std::unique_ptr<RouterInstance>> instances_;
+  std::map<int, std::vector<unsigned char>> worker_lists_;
 };
 
 }  // namespace cressrill::simhost
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,4 +1,5 @@
-// The decisions on the simulator's wire: batches on standard input, replies on standard output.
+// Runs routing policies for the simulator: reads batches from standard input and writes replies to standard
+// output.
 #include <exception>
 #include <iostream>
 
@@ -8,11 +9,11 @@
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
   try {
-    cressrill::simhost::BatchHandler host;
+    cressrill::simhost::BatchHandler handler;
     cressrill::simhost::Reply reply;
     std::vector<unsigned char> frame;
     while (cressrill::simhost::read_frame(std::cin, frame)) {
-      const std::uint32_t batch = host.handle(frame, reply);
+      const std::uint32_t batch = handler.handle(frame, reply);
       reply.write(std::cout, batch);
     }
     return 0;
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -1,4 +1,5 @@
-// The adapter: what is malformed is named, what is legal but odd is taken.
+// The simulator's wire protocol: malformed input is rejected with a message that names it, unusual valid
+// input is accepted.
 #include <doctest/doctest.h>
 
 #include <bit>
@@ -38,17 +39,17 @@
   return out;
 }
 
-static const std::string kProfile =
+static const std::string kSettings =
     "instances=2\ngranularityMs=2.0\ncaps.attemptsCap=6\nservices.count=1\nservices.0.effect=retryable\n"
     "services.0.goalTimeMs=1500.0\nservices.0.worth=1.0\nfamilyInfo.dutyByKind=read,write\nnew.key=1\n"
     "familyInfo.pinLimitMs=1000.0\nobligations.coldFrom=0.25\nobligations.rampTimeMs=12000.0\n"
     "obligations.fallMultiple=4.0\nobligations.fallMs=3000.0\n";
 
 static std::string error_of(const Frame& frame) {
-  BatchHandler host;
+  BatchHandler handler;
   Reply reply;
   try {
-    host.handle(frame, reply);
+    handler.handle(frame, reply);
   } catch (const WireError& error) {
     return error.what();
   }
@@ -57,12 +58,12 @@
 
 static Frame power_on(std::size_t size) { return record(6, {{1, 8}, {0, 4}, {size, 4}}); }
 
-TEST_CASE("malformed input is named") {
+TEST_CASE("malformed input is rejected with a message that names it") {
   CHECK(error_of({0, 0}) == "batch: ends before byte 4");
   CHECK(error_of(batch({record(99, {})})) == "record 0: event code 99 is not known");
   CHECK(error_of(batch({record(11, {{0, 2}}), record(10, {})})) ==
         "record 1: event 10 for instance 0, which is not running");
-  CHECK(error_of(batch({record(11, {{0, 2}}), power_on(5000)}, kProfile))
+  CHECK(error_of(batch({record(11, {{0, 2}}), power_on(5000)}, kSettings))
             .starts_with("settings: bytes 0 to 5000 lie outside tail"));
   Frame cut = batch({record(11, {{0, 2}})});
   cut.resize(40);
@@ -71,8 +72,8 @@
   CHECK_THROWS_WITH(read_frame(half, cut), "batch: input ends after 2 of 32 bytes");
 }
 
-TEST_CASE("a missing or unreadable setting is named") {
-  std::string text = kProfile;
+TEST_CASE("a missing or malformed setting is rejected with a message that names it") {
+  std::string text = kSettings;
   CHECK_NOTHROW(decode_settings(text));
   text.erase(text.find("instances=2\n"), 12);
   CHECK_THROWS_WITH(decode_settings(text), "settings: 'instances' is missing");
@@ -80,23 +81,24 @@
                     "settings: 'instances' is 'two', not a number");
 }
 
-TEST_CASE("legal oddities are taken, and a sequence without workers is answered") {
-  BatchHandler host;
+TEST_CASE("unusual valid records are accepted, and a request without workers is rejected") {
+  BatchHandler handler;
   Reply reply;
   std::ostringstream out;
-  CHECK(host.handle(batch({}), reply) == 9);
+  CHECK(handler.handle(batch({}), reply) == 9);
   const std::string entries;
-  const Frame at = record(11, {{3, 2}});
-  const Frame ask = record(8, {{77, 8}, {0, 2}, {0, 2}, {5, 8}, {std::bit_cast<std::uint64_t>(1005.0), 8}});
-  host.handle(batch({at, power_on(kProfile.size()), record(4, {{0, 1}, {0, 4}, {0, 4}}),
-                     record(7, {{2, 1}, {1, 8}, {0, 1}}), ask, record(9, {{123, 8}}), record(10, {{4, 4}}),
-                     record(3, {{123, 8}, {0, 1}, {1, 4}, {306, 2}})},
-                    kProfile),
-              reply);
+  const Frame select = record(11, {{3, 2}});
+  const Frame arrive =
+      record(8, {{77, 8}, {0, 2}, {0, 2}, {5, 8}, {std::bit_cast<std::uint64_t>(1005.0), 8}});
+  handler.handle(batch({select, power_on(kSettings.size()), record(4, {{0, 1}, {0, 4}, {0, 4}}),
+                        record(7, {{2, 1}, {1, 8}, {0, 1}}), arrive, record(9, {{123, 8}}),
+                        record(10, {{4, 4}}), record(3, {{123, 8}, {0, 1}, {1, 4}, {306, 2}})},
+                       kSettings),
+                 reply);
   reply.write(out, 9);
   const std::string bytes = out.str();
   REQUIRE(bytes.size() >= 12 + 2 * 24);
-  CHECK(bytes[13] == 4);  // a context for instance 3, then the rejection of sequence 77
+  CHECK(bytes[13] == 4);  // the context record of instance 3, then the rejection of request 77
   CHECK(bytes[15] == 3);
   CHECK(bytes[12 + 24 + 1] == 2);
   CHECK(bytes[12 + 24 + 9] == 77);
