--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,374 +1,387 @@
-// The decisions, each failure with a short trace that is kept in tests/traces and read by people.
+// Traces of the routing policy under each kind of failure, compared with the reviewed files in tests/traces.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "trace.h"
 
 namespace cressrill::testing {
 
-TEST_CASE("the ordinary path: read, then the writer is chosen") {
-  Trace t("ordinary_path");
-  t.whole(0, 1, 4000);
-  t.whole(1, 1, 4300, 4000);  // the session's holder reads again
-}
-
-TEST_CASE("a holder with too much waiting loses to the load pick") {
-  Trace t("holder_busy");
-  t.whole(0, 1, 4000);
-  for (int seq = 1; seq <= 4; ++seq) t.came(seq, 1, 8000);  // the lead pays for some waiting, not for any
-}
-
-TEST_CASE("a lead that was gone voids what that reader promised") {
-  Trace t("lead_gone");
-  t.whole(0, 1, 4000);
-  t.whole(1, 2, 4000);
-  t.whole(2, 3, 4000);
-  t.whole(3, 1, 4300, 0);
-  t.came(4, 2, 4300);
-}
-
-TEST_CASE("writers by reported memory, ties by cell, then by own stream tokens") {
-  Trace t("writer_order", small_deployment(), 1, 3);
-  t.listed(3, WorkerStatus::ready, 1, 0, 5);
-  t.read(0, 0, 3000, 50);
-  t.until(100);
-  t.ended(0, 1, Outcome::error, 0, 0.9);  // worker 1 says that it is nearly full
-  t.until(150);
-  t.read(1, 0, 3000, 50);
-}
-
-TEST_CASE("a draining worker gets nothing new") {
-  Trace t("drain");
-  t.listed(0, WorkerStatus::draining, 0);
-  t.listed(2, WorkerStatus::gone, 1);
-  t.whole(0, 1, 3000);
-  t.listed(1, WorkerStatus::draining, 0);
-  t.came(1, 1, 3000);
-  t.until(1000);
-}
-
-TEST_CASE("a cold worker gets a small share, spread over time") {
-  Trace t("cold_start", small_deployment(), 2, 2);
-  t.listed(0, WorkerStatus::ready, 0, 1);
-  for (int seq = 0; seq < 12; ++seq) t.whole(seq, 0, 3000);
-}
-
-TEST_CASE("among a hundred routers a cold worker gets a hundredth, and nothing is saved up for it") {
-  PolicySettings d = small_deployment();
-  d.routers = 100;
-  d.kinds[1].memory_tokens = 0;  // no bound, so that all are read at once
-  Trace t("cold_hundred", d, 1, 3);
-  t.until(5000);
-  t.listed(2, WorkerStatus::ready, 1, 4000 * kMs);
-  for (int seq = 0; seq < 6; ++seq) t.came(seq, 0, 1000);
-  t.until(5050);
-  for (int seq = 0; seq < 6; ++seq) t.ended(seq, 0, Outcome::prefill_done);  // all at once to writers
-}
-
-TEST_CASE("a state from a read that was left for late is used, or let go once another waits") {
-  Trace t("late_read", small_deployment(), 2, 1);
-  t.until(100);
-  t.came(0, 0, 3000);
-  t.until(1400);  // left for late, sent to the other reader
-  t.ended(0, 0, Outcome::prefill_done);
-  t.until(1450);
-  t.ended(0, 2, Outcome::kv_missing);
-  t.until(1460);
-}
-
-TEST_CASE("a stream that began after its attempt was left, and broke, still gets a final answer") {
-  Trace t("late_stream", small_deployment(), 1, 2);
-  t.until(100);
-  t.came(0, 0, 3000, 3000);
-  t.until(200);
-  t.ended(0, 0, Outcome::prefill_done);
-  t.until(1250);  // left for late, sent to the other writer
-  t.began(0, 1);
-  t.ended(0, 2, Outcome::cancelled);
-  t.until(1300);
-  t.ended(0, 1, Outcome::cancelled);
-  t.until(3200);
-}
-
-TEST_CASE("a writer that said full to a sequence is not asked again while another is there") {
-  Trace t("full_to_one", small_deployment(), 1, 3);
-  t.read(0, 0, 3000, 100);
-  for (int attempt = 1; attempt < 4; ++attempt) {
-    t.until(100 + 160 * attempt);
-    t.ended(0, attempt, Outcome::full);
-  }
+TEST_CASE("the ordinary path: a prefill, then the choice of a decode worker") {
+  Trace trace("ordinary_path");
+  trace.serve(0, 1, 4000);
+  trace.serve(1, 1, 4300, 4000);  // goes to the prefix holder of its session
 }
 
-TEST_CASE("a writer not heard of for long is as the average, not empty") {
-  Trace t("unheard_writer", small_deployment(), 1, 3);
-  for (int seq = 0; seq < 2; ++seq) {
-    t.read(seq, 0, 3000, 50);
-    t.until(t.now_ms() + 50);
-    t.began(seq, 1);
-    t.ended(seq, 1, Outcome::generated, 0, seq == 0 ? 0.2 : 0.9);
-  }
-  t.until(5000);
-  for (int seq = 2; seq < 4; ++seq) {  // the nearly empty one is still taken
-    t.read(seq, 0, 3000, 50);
-  }
+TEST_CASE("a prefix holder with too long a queue loses to the least loaded prefill worker") {
+  Trace trace("holder_busy");
+  trace.serve(0, 1, 4000);
+  for (int request = 1; request <= 4; ++request)
+    trace.arrive(request, 1, 8000);  // the cached prefix outweighs a short queue, not any
 }
 
-TEST_CASE("what was down and answers again counts as cold before the list tells") {
-  Trace t("cold_guess", small_deployment(), 2, 1);
-  t.listed(1, WorkerStatus::draining, 0);
-  t.came(0, 0, 3000);
-  t.until(20);
-  t.ended(0, 0, Outcome::connection_lost);
-  t.until(30);
-  t.ended(0, 1, Outcome::connect_failed);
-  t.until(500);
-  t.left(0);
-  t.until(4000);
-  t.whole(1, 0, 3000);
-  t.came(2, 0, 3000);
-  t.came(3, 0, 3000);
-}
-
-TEST_CASE("a connection that broke alone: its worker is asked again at once, and is not cold") {
-  Trace t("broke_alone", small_deployment(), 1, 1);
-  t.came(0, 0, 3000);
-  t.until(20);
-  t.ended(0, 0, Outcome::connection_lost);
-  t.until(60);
-  t.ended(0, 1, Outcome::prefill_done);
-  t.until(80);
-  t.left(0);
-  t.ended(0, 2, Outcome::cancelled);
-  for (int seq = 1; seq < 4; ++seq) t.came(seq, 0, 3000);
+TEST_CASE("a cached prefix that was gone invalidates the older entries of that prefill worker") {
+  Trace trace("lead_gone");
+  trace.serve(0, 1, 4000);
+  trace.serve(1, 2, 4000);
+  trace.serve(2, 3, 4000);
+  trace.serve(3, 1, 4300, 0);
+  trace.arrive(4, 2, 4300);
 }
 
 TEST_CASE(
-    "a worker that answers some and leaves others without a word: those go elsewhere, and it is set aside") {
-  Trace t("answers_some", small_deployment(), 1, 2);
-  t.read(0, 0, 3000, 50);
-  t.read(1, 0, 3000, 50);
-  t.until(400);
-  t.began(0, 1);
-  t.ended(1, 1, Outcome::timed_out);  // to 2, whose silence ends with it
-  t.until(450);
-  t.began(1, 2);
-}
-
-TEST_CASE("a worker that refuses connections is let be for a while: the attempts are not all spent at once") {
-  Trace t("refuses", small_deployment(), 1, 1);
-  t.came(0, 0, 3000);
-  t.until(20);
-  t.ended(0, 0, Outcome::connect_failed);
-  t.until(300);
-}
-
-TEST_CASE("a connection that was slow to open is no death: the worker is not cold when it answers") {
-  Trace t("slow_connection", small_deployment(), 1, 1);
-  t.came(0, 0, 3000);
-  t.until(250);
-  t.ended(0, 0, Outcome::connect_failed);
-  t.until(450);
-  t.left(0);
-  t.ended(0, 1, Outcome::cancelled);
-  t.until(4000);
-  t.whole(1, 0, 3000);
-  for (int seq = 2; seq < 6; ++seq) t.came(seq, 0, 3000);  // all are sent at once
-}
-
-TEST_CASE("all readers cold at once: a part is sent, the rest is answered at once") {
-  Trace t("all_cold", small_deployment(), 2, 1);
-  t.until(5000);
-  for (int w = 0; w < 2; ++w) t.listed(w, WorkerStatus::ready, 0, 4000 * kMs);
-  for (int seq = 0; seq < 6; ++seq) t.came(seq, 0, 1000);
-  t.until(5600);
-}
-
-TEST_CASE("a silent worker is left at once by all that wait there") {
-  Trace t("silence", small_deployment(), 1, 2);
-  t.read(0, 0, 3000, 100);
-  t.until(2500);
-  t.ended(0, 1, Outcome::cancelled);
-}
-
-TEST_CASE("a worker that fails fast is set aside and comes back on trial") {
-  Trace t("fast_errors");
-  for (int seq = 0; seq < 4; ++seq) {
-    t.came(seq, 0, 3000);
-    t.until(t.now_ms() + 20);
-    t.ended(seq, 0, Outcome::error);
-    t.until(t.now_ms() + 20);
-    t.left(seq);
-    t.ended(seq, 1, Outcome::cancelled);
-  }
-  t.until(4000);
-  t.came(4, 0, 3000);
-  t.came(5, 0, 3000);
-  t.came(6, 0, 3000);
+    "decode workers are chosen by reported memory, with ties broken by cell, then by this router's decode "
+    "tokens") {
+  Trace trace("writer_order", small_settings(), 1, 3);
+  trace.list_worker(3, WorkerStatus::ready, 1, 0, 5);
+  trace.prefill(0, 0, 3000, 50);
+  trace.advance_to(100);
+  trace.end_attempt(0, 1, Outcome::error, 0, 0.9);  // worker 1 reports that it is nearly full
+  trace.advance_to(150);
+  trace.prefill(1, 0, 3000, 50);
 }
 
-TEST_CASE("a state that no writer takes is let go well before the limit, and answered at once") {
-  Trace t("pinned", small_deployment(), 1, 1);
-  t.read(0, 0, 3000, 100);
-  t.until(150);
-  t.listed(1, WorkerStatus::draining, 1);
-  t.ended(0, 1, Outcome::full);
-  t.until(600);
+TEST_CASE("a draining worker gets no new requests") {
+  Trace trace("drain");
+  trace.list_worker(0, WorkerStatus::draining, 0);
+  trace.list_worker(2, WorkerStatus::gone, 1);
+  trace.serve(0, 1, 3000);
+  trace.list_worker(1, WorkerStatus::draining, 0);
+  trace.arrive(1, 1, 3000);
+  trace.advance_to(1000);
+}
+
+TEST_CASE("a cold worker gets a small share of the requests, spread over time") {
+  Trace trace("cold_start", small_settings(), 2, 2);
+  trace.list_worker(0, WorkerStatus::ready, 0, 1);
+  for (int request = 0; request < 12; ++request) trace.serve(request, 0, 3000);
 }
 
 TEST_CASE(
-    "a state whose writers cannot be reached is let go of in time: failed connections do not restart its "
-    "time") {
-  PolicySettings d = small_deployment();
-  d.kv_hold_limit = 1000 * kMs;
-  Trace t("pinned_unreached", d, 1, 3);
-  t.read(0, 0, 3000, 50);
-  for (int attempt = 1; attempt <= 2; ++attempt) {
-    t.until(t.now_ms() + 250);
-    t.ended(0, attempt, Outcome::connect_failed);
+    "with a hundred routers each sends a cold worker a hundredth of its share, and unused shares are not "
+    "saved up") {
+  PolicySettings settings = small_settings();
+  settings.routers = 100;
+  settings.kinds[1].memory_tokens = 0;  // no bound, so that all prefills start at once
+  Trace trace("cold_hundred", settings, 1, 3);
+  trace.advance_to(5000);
+  trace.list_worker(2, WorkerStatus::ready, 1, 4000 * kMs);
+  for (int request = 0; request < 6; ++request) trace.arrive(request, 0, 1000);
+  trace.advance_to(5050);
+  for (int request = 0; request < 6; ++request)
+    trace.end_attempt(request, 0, Outcome::prefill_done);  // all go to decode workers at the same time
+}
+
+TEST_CASE("KV cache of an abandoned late prefill is used, or released once another prefill is outstanding") {
+  Trace trace("late_read", small_settings(), 2, 1);
+  trace.advance_to(100);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(1400);  // abandoned as overdue, sent to the other prefill worker
+  trace.end_attempt(0, 0, Outcome::prefill_done);
+  trace.advance_to(1450);
+  trace.end_attempt(0, 2, Outcome::kv_missing);
+  trace.advance_to(1460);
+}
+
+TEST_CASE("a client still gets a final answer if the stream of an abandoned attempt starts and then breaks") {
+  Trace trace("late_stream", small_settings(), 1, 2);
+  trace.advance_to(100);
+  trace.arrive(0, 0, 3000, 3000);
+  trace.advance_to(200);
+  trace.end_attempt(0, 0, Outcome::prefill_done);
+  trace.advance_to(1250);  // abandoned as overdue, sent to the other decode worker
+  trace.start_stream(0, 1);
+  trace.end_attempt(0, 2, Outcome::cancelled);
+  trace.advance_to(1300);
+  trace.end_attempt(0, 1, Outcome::cancelled);
+  trace.advance_to(3200);
+}
+
+TEST_CASE("a decode worker that was full is not sent the same request again while another one is available") {
+  Trace trace("full_to_one", small_settings(), 1, 3);
+  trace.prefill(0, 0, 3000, 100);
+  for (int attempt = 1; attempt < 4; ++attempt) {
+    trace.advance_to(100 + 160 * attempt);
+    trace.end_attempt(0, attempt, Outcome::full);
   }
 }
 
-TEST_CASE("full writers hold reads back, and a line that stands too long is answered at once") {
-  Trace t("writers_full", small_deployment(), 1, 1);
-  for (int seq = 0; seq < 5; ++seq) t.came(seq, 0, 30000);
-  t.until(200);
-  t.ended(0, 0, Outcome::prefill_done);
-  t.until(210);
-  t.ended(0, 1, Outcome::full);
-  t.until(1200);
-}
-
-TEST_CASE("a once-only sequence that may have run is aborted, not sent or rejected") {
-  PolicySettings d = small_deployment();
-  d.types[0].effect = Effect::once_only;
-  Trace t("once_only", d);
-  t.read(0, 0, 3000, 100);
-  t.until(150);
-  t.ended(0, 1, Outcome::full);  // proved idle: another writer may have it
-  t.until(180);
-  t.ended(0, 2, Outcome::error);
-  t.until(200);
-}
-
-TEST_CASE("a tokened sequence that may have run stays in its cell") {
-  PolicySettings d = small_deployment();
-  d.types[0].effect = Effect::tokened;
-  d.types[0].group = Group::cell;
-  d.types[0].window = 2000 * kMs;
-  Trace t("tokened", d, 1, 3);
-  t.listed(2, WorkerStatus::ready, 1, 0, 9);  // the others are in the reader's cell
-  t.read(0, 0, 3000, 100);
-  t.until(120);
-  t.ended(0, 1, Outcome::error);
-  t.until(140);
-  t.ended(0, 2, Outcome::error);
-  t.until(400);
-}
-
-TEST_CASE("the last moment: an answer before the client gives up, and nothing after it") {
-  PolicySettings d = small_deployment();
-  d.max_attempts = 2;
-  Trace t("last_moment", d, 1, 1);
-  t.came(0, 0, 3000, 1000);
-  t.until(700);
-  t.ended(0, 0, Outcome::prefill_done);
-  t.until(1100);
-  t.ended(0, 1, Outcome::timed_out);
-}
-
-TEST_CASE("past its share a tenant waits behind the others") {
-  PolicySettings d = small_deployment();
-  d.tenant_rates = {1, 1};
-  Trace t("tenant_share", d, 1, 1);
-  for (int seq = 0; seq < 12; ++seq) t.came(seq, 0, 9000, 6000, 0, 0, 0, 0);
-  t.came(12, 0, 9000, 6000, 0, 0, 0, 1);
-  t.until(100);
-  t.ended(0, 0, Outcome::prefill_done);
-}
-
-TEST_CASE("a share of a hundredth of a sequence a second still lets a storefront in") {
-  PolicySettings d = small_deployment();
-  d.tenant_rates = {1, 1};
-  d.routers = 100;
-  d.kinds[1].memory_tokens = 0;
-  Trace t("tenant_small_share", d, 1, 1);
-  for (int seq = 0; seq < 12; ++seq) t.came(seq, 0, 900, 6000, 0, 0, 0, 0);
-  t.came(12, 0, 900, 6000, 0, 0, 0, 1);  // before what is past the other's share
-  t.until(50);
-  t.ended(0, 0, Outcome::prefill_done);
-  t.until(60);
-  t.began(0, 1);
-}
-
-TEST_CASE("slow first tokens cut the limit; then the least to read goes first") {
-  Trace t("read_bound", small_deployment(), 1, 2);
-  for (int seq = 0; seq < 8; ++seq) t.came(seq, 0, 3000, 9000);
-  for (int seq = 0; seq < 8; ++seq) {
-    t.until(1300 + 80 * seq);
-    t.ended(seq, 0, Outcome::prefill_done);
-    t.until(1320 + 80 * seq);
-    t.began(seq, 1);
+TEST_CASE("a decode worker without a recent load report counts as average, not as empty") {
+  Trace trace("unheard_writer", small_settings(), 1, 3);
+  for (int request = 0; request < 2; ++request) {
+    trace.prefill(request, 0, 3000, 50);
+    trace.advance_to(trace.now_ms() + 50);
+    trace.start_stream(request, 1);
+    trace.end_attempt(request, 1, Outcome::generated, 0, request == 0 ? 0.2 : 0.9);
+  }
+  trace.advance_to(5000);
+  for (int request = 2; request < 4; ++request) {  // the nearly empty one is still chosen
+    trace.prefill(request, 0, 3000, 50);
   }
-  for (int seq = 8; seq < 16; ++seq) t.came(seq, 0, 5000 - 300 * seq, 9000);  // the last has least to read
-  t.until(2000);
-  t.ended(8, 0, Outcome::prefill_done);
-  t.until(2020);
-  t.began(8, 1);
 }
 
-TEST_CASE("a session of another router goes to its home, or to the next one where that is aside") {
-  Trace t("home", small_deployment(), 3, 1);
-  for (int seq = 0; seq < 3; ++seq) t.whole(seq, 77 + static_cast<std::uint64_t>(seq), 5000, 4800);
-  t.came(3, 80, 5000);
-  t.ended(3, 0, Outcome::connection_lost);
-  t.until(t.now_ms() + 50);
-  t.left(3);
-  t.came(4, 80, 5000);
-  t.came(5, 81, 5000);
+TEST_CASE(
+    "a worker that was unreachable and answers again counts as cold before the worker list shows its "
+    "restart") {
+  Trace trace("cold_guess", small_settings(), 2, 1);
+  trace.list_worker(1, WorkerStatus::draining, 0);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(20);
+  trace.end_attempt(0, 0, Outcome::connection_lost);
+  trace.advance_to(30);
+  trace.end_attempt(0, 1, Outcome::connect_failed);
+  trace.advance_to(500);
+  trace.leave(0);
+  trace.advance_to(4000);
+  trace.serve(1, 0, 3000);
+  trace.arrive(2, 0, 3000);
+  trace.arrive(3, 0, 3000);
+}
+
+TEST_CASE("after a single broken connection its worker is used again at once, and is not cold") {
+  Trace trace("broke_alone", small_settings(), 1, 1);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(20);
+  trace.end_attempt(0, 0, Outcome::connection_lost);
+  trace.advance_to(60);
+  trace.end_attempt(0, 1, Outcome::prefill_done);
+  trace.advance_to(80);
+  trace.leave(0);
+  trace.end_attempt(0, 2, Outcome::cancelled);
+  for (int request = 1; request < 4; ++request) trace.arrive(request, 0, 3000);
+}
+
+TEST_CASE("a worker that leaves some requests unanswered: those are sent elsewhere, and it is ejected") {
+  Trace trace("answers_some", small_settings(), 1, 2);
+  trace.prefill(0, 0, 3000, 50);
+  trace.prefill(1, 0, 3000, 50);
+  trace.advance_to(400);
+  trace.start_stream(0, 1);
+  trace.end_attempt(1, 1, Outcome::timed_out);  // it was sent to worker 2, which never answered
+  trace.advance_to(450);
+  trace.start_stream(1, 2);
+}
+
+TEST_CASE("a worker that refuses connections is not retried at once, which would spend all attempts") {
+  Trace trace("refuses", small_settings(), 1, 1);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(20);
+  trace.end_attempt(0, 0, Outcome::connect_failed);
+  trace.advance_to(300);
+}
+
+TEST_CASE("a connection that is too slow to open does not make its worker cold when it answers") {
+  Trace trace("slow_connection", small_settings(), 1, 1);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(250);
+  trace.end_attempt(0, 0, Outcome::connect_failed);
+  trace.advance_to(450);
+  trace.leave(0);
+  trace.end_attempt(0, 1, Outcome::cancelled);
+  trace.advance_to(4000);
+  trace.serve(1, 0, 3000);
+  for (int request = 2; request < 6; ++request) trace.arrive(request, 0, 3000);  // all are sent at once
+}
+
+TEST_CASE("with all prefill workers cold, some requests are sent and the rest are rejected early") {
+  Trace trace("all_cold", small_settings(), 2, 1);
+  trace.advance_to(5000);
+  for (int w = 0; w < 2; ++w) trace.list_worker(w, WorkerStatus::ready, 0, 4000 * kMs);
+  for (int request = 0; request < 6; ++request) trace.arrive(request, 0, 1000);
+  trace.advance_to(5600);
+}
+
+TEST_CASE("all requests that wait at a silent worker leave it at once") {
+  Trace trace("silence", small_settings(), 1, 2);
+  trace.prefill(0, 0, 3000, 100);
+  trace.advance_to(2500);
+  trace.end_attempt(0, 1, Outcome::cancelled);
+}
+
+TEST_CASE("a worker that fails fast is ejected and returns half-open") {
+  Trace trace("fast_errors");
+  for (int request = 0; request < 4; ++request) {
+    trace.arrive(request, 0, 3000);
+    trace.advance_to(trace.now_ms() + 20);
+    trace.end_attempt(request, 0, Outcome::error);
+    trace.advance_to(trace.now_ms() + 20);
+    trace.leave(request);
+    trace.end_attempt(request, 1, Outcome::cancelled);
+  }
+  trace.advance_to(4000);
+  trace.arrive(4, 0, 3000);
+  trace.arrive(5, 0, 3000);
+  trace.arrive(6, 0, 3000);
 }
 
-TEST_CASE("a zone with few readers leaves the rest of its sessions a home in the other zone") {
-  Trace t("uneven_zones", small_deployment(), 4, 1);
-  for (int w = 1; w < 4; ++w) t.listed(w, WorkerStatus::ready, 0, 0, 1, 1);  // one reader here, three there
-  for (int seq = 0; seq < 6; ++seq) t.whole(seq, 90 + static_cast<std::uint64_t>(seq), 5000, 4800);
+TEST_CASE(
+    "KV cache that no decode worker takes is released well before the limit, and the request is rejected") {
+  Trace trace("pinned", small_settings(), 1, 1);
+  trace.prefill(0, 0, 3000, 100);
+  trace.advance_to(150);
+  trace.list_worker(1, WorkerStatus::draining, 1);
+  trace.end_attempt(0, 1, Outcome::full);
+  trace.advance_to(600);
 }
 
-TEST_CASE("a cell with few writers keeps only an even part of what its readers feed") {
-  Trace t("uneven_cells", small_deployment(), 3, 4);
-  t.listed(2, WorkerStatus::ready, 0, 0, 1);
+TEST_CASE(
+    "KV cache is released in time if no decode worker can be reached: failed connections do not restart the "
+    "limit") {
+  PolicySettings settings = small_settings();
+  settings.kv_hold_limit = 1000 * kMs;
+  Trace trace("pinned_unreached", settings, 1, 3);
+  trace.prefill(0, 0, 3000, 50);
+  for (int attempt = 1; attempt <= 2; ++attempt) {
+    trace.advance_to(trace.now_ms() + 250);
+    trace.end_attempt(0, attempt, Outcome::connect_failed);
+  }
+}
+
+TEST_CASE("full decode workers hold prefills back, and requests that queue for too long are rejected") {
+  Trace trace("writers_full", small_settings(), 1, 1);
+  for (int request = 0; request < 5; ++request) trace.arrive(request, 0, 30000);
+  trace.advance_to(200);
+  trace.end_attempt(0, 0, Outcome::prefill_done);
+  trace.advance_to(210);
+  trace.end_attempt(0, 1, Outcome::full);
+  trace.advance_to(1200);
+}
+
+TEST_CASE("a once-only request that may have run is aborted, neither sent again nor rejected") {
+  PolicySettings settings = small_settings();
+  settings.types[0].effect = Effect::once_only;
+  Trace trace("once_only", settings);
+  trace.prefill(0, 0, 3000, 100);
+  trace.advance_to(150);
+  trace.end_attempt(0, 1, Outcome::full);  // it has not run: another decode worker may get it
+  trace.advance_to(180);
+  trace.end_attempt(0, 2, Outcome::error);
+  trace.advance_to(200);
+}
+
+TEST_CASE("a tokened request that may have run stays in its cell") {
+  PolicySettings settings = small_settings();
+  settings.types[0].effect = Effect::tokened;
+  settings.types[0].group = Group::cell;
+  settings.types[0].window = 2000 * kMs;
+  Trace trace("tokened", settings, 1, 3);
+  trace.list_worker(2, WorkerStatus::ready, 1, 0, 9);  // the others are in the prefill worker's cell
+  trace.prefill(0, 0, 3000, 100);
+  trace.advance_to(120);
+  trace.end_attempt(0, 1, Outcome::error);
+  trace.advance_to(140);
+  trace.end_attempt(0, 2, Outcome::error);
+  trace.advance_to(400);
+}
+
+TEST_CASE("a request is answered just before its deadline, and nothing follows") {
+  PolicySettings settings = small_settings();
+  settings.max_attempts = 2;
+  Trace trace("last_moment", settings, 1, 1);
+  trace.arrive(0, 0, 3000, 1000);
+  trace.advance_to(700);
+  trace.end_attempt(0, 0, Outcome::prefill_done);
+  trace.advance_to(1100);
+  trace.end_attempt(0, 1, Outcome::timed_out);
+}
+
+TEST_CASE("beyond its share a tenant's requests queue behind those of others") {
+  PolicySettings settings = small_settings();
+  settings.tenant_rates = {1, 1};
+  Trace trace("tenant_share", settings, 1, 1);
+  for (int request = 0; request < 12; ++request) trace.arrive(request, 0, 9000, 6000, 0, 0, 0, 0);
+  trace.arrive(12, 0, 9000, 6000, 0, 0, 0, 1);
+  trace.advance_to(100);
+  trace.end_attempt(0, 0, Outcome::prefill_done);
+}
+
+TEST_CASE("a share of a hundredth of a request per second still admits a tenant's requests") {
+  PolicySettings settings = small_settings();
+  settings.tenant_rates = {1, 1};
+  settings.routers = 100;
+  settings.kinds[1].memory_tokens = 0;
+  Trace trace("tenant_small_share", settings, 1, 1);
+  for (int request = 0; request < 12; ++request) trace.arrive(request, 0, 900, 6000, 0, 0, 0, 0);
+  trace.arrive(12, 0, 900, 6000, 0, 0, 0, 1);  // ahead of the other tenant's requests beyond its share
+  trace.advance_to(50);
+  trace.end_attempt(0, 0, Outcome::prefill_done);
+  trace.advance_to(60);
+  trace.start_stream(0, 1);
+}
+
+TEST_CASE("slow first tokens reduce the in-flight limit, and then the shortest prefill goes first") {
+  Trace trace("read_bound", small_settings(), 1, 2);
+  for (int request = 0; request < 8; ++request) trace.arrive(request, 0, 3000, 9000);
+  for (int request = 0; request < 8; ++request) {
+    trace.advance_to(1300 + 80 * request);
+    trace.end_attempt(request, 0, Outcome::prefill_done);
+    trace.advance_to(1320 + 80 * request);
+    trace.start_stream(request, 1);
+  }
+  for (int request = 8; request < 16; ++request)
+    trace.arrive(request, 0, 5000 - 300 * request, 9000);  // the last has the shortest prefill
+  trace.advance_to(2000);
+  trace.end_attempt(8, 0, Outcome::prefill_done);
+  trace.advance_to(2020);
+  trace.start_stream(8, 1);
+}
+
+TEST_CASE("a session from another router goes to its home worker, or to the next one if that is ejected") {
+  Trace trace("home", small_settings(), 3, 1);
+  for (int request = 0; request < 3; ++request)
+    trace.serve(request, 77 + static_cast<std::uint64_t>(request), 5000, 4800);
+  trace.arrive(3, 80, 5000);
+  trace.end_attempt(3, 0, Outcome::connection_lost);
+  trace.advance_to(trace.now_ms() + 50);
+  trace.leave(3);
+  trace.arrive(4, 80, 5000);
+  trace.arrive(5, 81, 5000);
+}
+
+TEST_CASE("a zone with few prefill workers gives its remaining sessions a home in the other zone") {
+  Trace trace("uneven_zones", small_settings(), 4, 1);
+  for (int w = 1; w < 4; ++w)
+    trace.list_worker(w, WorkerStatus::ready, 0, 0, 1, 1);  // one prefill worker here, three there
+  for (int request = 0; request < 6; ++request)
+    trace.serve(request, 90 + static_cast<std::uint64_t>(request), 5000, 4800);
+}
+
+TEST_CASE("a cell with few decode workers keeps only its proportional part of its prefilled requests") {
+  Trace trace("uneven_cells", small_settings(), 3, 4);
+  trace.list_worker(2, WorkerStatus::ready, 0, 0, 1);
   for (int w = 4; w < 7; ++w)
-    t.listed(w, WorkerStatus::ready, 1, 0, 1);  // 2 readers, 1 writer; 1 reader, 3 writers
-  for (int seq = 0; seq < 8; ++seq) t.whole(seq, 0, 3000);
-}
-
-TEST_CASE("a read that was late makes the next time-out longer") {
-  Trace t("late_learned", small_deployment(), 1, 1);
-  t.until(100);
-  t.came(0, 0, 3000);
-  t.until(1240);
-  t.ended(0, 0, Outcome::timed_out);
-  t.left(0);
-  t.ended(0, 1, Outcome::cancelled);
-  t.until(4500);
-  t.came(1, 0, 3000);
-}
-
-TEST_CASE("no readers: mixed workers do both with one attempt") {
-  PolicySettings d = small_deployment();
-  d.kinds[1].role = Role::mixed;
-  Trace t("mixed_only", d, 0, 2);
-  t.came(0, 0, 3000);
-  t.until(100);
-  t.began(0, 0);
-  t.ended(0, 0, Outcome::generated);
-}
-
-TEST_CASE("an empty list, and a list that must be asked for") {
-  PolicySettings d = small_deployment();
-  d.needs_subscription = true;
-  d.subscription_lifetime = 1000 * kMs;
-  d.send_retry_after = true;
-  Trace t("empty_list", d, 0, 0);
-  t.came(0, 0, 3000);
-  t.until(1000);
+    trace.list_worker(w, WorkerStatus::ready, 1, 0,
+                      1);  // 2 prefill workers and 1 decode worker; 1 prefill worker and 3 decode workers
+  for (int request = 0; request < 8; ++request) trace.serve(request, 0, 3000);
+}
+
+TEST_CASE("a late prefill lengthens the next timeout") {
+  Trace trace("late_learned", small_settings(), 1, 1);
+  trace.advance_to(100);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(1240);
+  trace.end_attempt(0, 0, Outcome::timed_out);
+  trace.leave(0);
+  trace.end_attempt(0, 1, Outcome::cancelled);
+  trace.advance_to(4500);
+  trace.arrive(1, 0, 3000);
+}
+
+TEST_CASE("without prefill workers, mixed workers do both phases in one attempt") {
+  PolicySettings settings = small_settings();
+  settings.kinds[1].role = Role::mixed;
+  Trace trace("mixed_only", settings, 0, 2);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(100);
+  trace.start_stream(0, 0);
+  trace.end_attempt(0, 0, Outcome::generated);
+}
+
+TEST_CASE("with an empty worker list requests are rejected, and a subscription is renewed in time") {
+  PolicySettings settings = small_settings();
+  settings.needs_subscription = true;
+  settings.subscription_lifetime = 1000 * kMs;
+  settings.send_retry_after = true;
+  Trace trace("empty_list", settings, 0, 0);
+  trace.arrive(0, 0, 3000);
+  trace.advance_to(1000);
 }
 
 }  // namespace cressrill::testing
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -1,5 +1,5 @@
-// Plays inputs to a router and prints them with its decisions, to be compared with tests/traces/NAME.txt.
-// CRESSRILL_TRACES=write writes those files anew; read the difference before committing it.
+// Feeds inputs to a routing policy and compares the trace of inputs and decisions with tests/traces/NAME.txt.
+// CRESSRILL_TRACES=write rewrites those files; review the difference before committing it.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -17,117 +17,122 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// Two readers (workers 0 and 1) and two writers (2 and 3), one zone, nothing reported unless a test says so.
-inline PolicySettings small_deployment() {
-  PolicySettings d;
-  d.types.push_back({Effect::repeatable, Group::all, 0, 1500 * kMs, 40 * kMs, 1});
-  d.kinds = {{Role::prefill, 200'000}, {Role::decode, 100'000}};
-  d.routers = 1;
-  d.tick = 2 * kMs;
-  d.max_attempts = 6;
-  d.can_cancel = d.allow_parallel_attempts = true;
-  d.max_retry_after = 500 * kMs;
-  d.kv_hold_limit = 500 * kMs;
-  d.cold_start_capacity = 0.25;
-  d.ramp_time = 10'000 * kMs;
-  d.overload_factor = 2.5;
-  d.overload_window = 1'500 * kMs;
-  return d;
+// By default a Trace has two prefill workers (0 and 1) and two decode workers (2 and 3) in one zone, which
+// report no load unless a test does so.
+inline PolicySettings small_settings() {
+  PolicySettings settings;
+  settings.types.push_back({Effect::repeatable, Group::all, 0, 1500 * kMs, 40 * kMs, 1});
+  settings.kinds = {{Role::prefill, 200'000}, {Role::decode, 100'000}};
+  settings.routers = 1;
+  settings.tick = 2 * kMs;
+  settings.max_attempts = 6;
+  settings.can_cancel = settings.allow_parallel_attempts = true;
+  settings.max_retry_after = 500 * kMs;
+  settings.kv_hold_limit = 500 * kMs;
+  settings.cold_start_capacity = 0.25;
+  settings.ramp_time = 10'000 * kMs;
+  settings.overload_factor = 2.5;
+  settings.overload_window = 1'500 * kMs;
+  return settings;
 }
 
 class Trace final : public Actions {
  public:
-  explicit Trace(std::string name, const PolicySettings& d = small_deployment(), int readers = 2,
-                 int writers = 2)
-      : name_(std::move(name)), policy_(make_policy(d, 7, 0, *this)) {
+  explicit Trace(std::string name, const PolicySettings& settings = small_settings(), int prefill_workers = 2,
+                 int decode_workers = 2)
+      : name_(std::move(name)), policy_(make_policy(settings, 7, 0, *this)) {
     policy_->list_begins(0, true);
-    for (int w = 0; w < readers + writers; ++w)
-      policy_->worker_listed(w, static_cast<std::uint64_t>(w), WorkerStatus::ready, 0, w < readers ? 0 : 1,
-                             d.zone, 0);
+    for (int w = 0; w < prefill_workers + decode_workers; ++w)
+      policy_->worker_listed(w, static_cast<std::uint64_t>(w), WorkerStatus::ready, 0,
+                             w < prefill_workers ? 0 : 1, settings.zone, 0);
     policy_->list_ends();
   }
   ~Trace() override {
     const std::string path = std::string(TRACE_DIR) + "/" + name_ + ".txt";
     const char* mode = std::getenv("CRESSRILL_TRACES");
     if (mode != nullptr && std::string(mode) == "write") std::ofstream(path) << text_.str();
-    std::ostringstream kept;
-    kept << std::ifstream(path).rdbuf();
-    CHECK_MESSAGE(text_.str() == kept.str(), name_ << " now reads:\n" << text_.str());
+    std::ostringstream expected;
+    expected << std::ifstream(path).rdbuf();
+    CHECK_MESSAGE(text_.str() == expected.str(), name_ << " now reads:\n" << text_.str());
   }
 
-  // Lets time pass; wakes come every 10 ms, as the router asks for them.
-  void until(int ms) {
+  // Lets time pass, with a wakeup every 10 ms, as the policy requests.
+  void advance_to(int ms) {
     while (now_ + 10 * kMs <= ms * kMs) {
       now_ += 10 * kMs;
       policy_->on_wakeup(now_);
     }
     now_ = ms * kMs;
   }
-  void came(int seq, std::uint64_t session, double prompt, int abandon_in_ms = 6000,
-            std::uint64_t beginning = 0, double beginning_tokens = 0, int type = 0, int tenant = 0) {
-    line() << "sequence " << seq << " came: " << prompt << " tokens, session " << session << '\n';
-    policy_->request_arrived(now_, seq, type, tenant, session, beginning, prompt, beginning_tokens, 200,
-                             now_ + abandon_in_ms * kMs);
+  void arrive(int request, std::uint64_t session, double prompt_tokens, int deadline_in_ms = 6000,
+              std::uint64_t prefix_hash = 0, double prefix_tokens = 0, int type = 0, int tenant = 0) {
+    line() << "sequence " << request << " came: " << prompt_tokens << " tokens, session " << session << '\n';
+    policy_->request_arrived(now_, request, type, tenant, session, prefix_hash, prompt_tokens, prefix_tokens,
+                             200, now_ + deadline_in_ms * kMs);
   }
-  void ended(int seq, int attempt, Outcome outcome, double kept = 0, double memory_share = -1,
-             double sequences = -1) {
-    static const char* const words[] = {"generated", "read",      "error",          "full",
+  void end_attempt(int request, int attempt, Outcome outcome, double cached_tokens = 0,
+                   double memory_share = -1, double requests = -1) {
+    static const char* const names[] = {"generated", "read",      "error",          "full",
                                         "no state",  "timed out", "connect failed", "connection lost",
                                         "cancelled", "not sent"};
-    line() << "attempt " << seq << "." << attempt << " ended: " << words[static_cast<int>(outcome)] << '\n';
+    line() << "attempt " << request << "." << attempt << " ended: " << names[static_cast<int>(outcome)]
+           << '\n';
     LoadReport report;
-    report.received = memory_share >= 0 || sequences >= 0;
+    report.received = memory_share >= 0 || requests >= 0;
     report.memory_share = memory_share;
-    report.requests = sequences;
-    policy_->attempt_ended(now_, seq, attempt, outcome, now_ - sent_at_, outcome == Outcome::generated, kept,
-                           report);
+    report.requests = requests;
+    policy_->attempt_ended(now_, request, attempt, outcome, now_ - last_sent_at_,
+                           outcome == Outcome::generated, cached_tokens, report);
   }
-  void began(int seq, int attempt) {
-    line() << "stream " << seq << "." << attempt << " began\n";
-    policy_->stream_started(now_, seq, attempt, 50 * kMs);
+  void start_stream(int request, int attempt) {
+    line() << "stream " << request << "." << attempt << " began\n";
+    policy_->stream_started(now_, request, attempt, 50 * kMs);
   }
-  void left(int seq) {
-    line() << "client of " << seq << " left\n";
-    policy_->client_left(now_, seq);
+  void leave(int request) {
+    line() << "client of " << request << " left\n";
+    policy_->client_left(now_, request);
   }
-  void listed(int worker, WorkerStatus standing, int kind, Nanos started = 0, int cell = 0, int zone = 0) {
-    static const char* const words[] = {"gone", "ready", "draining"};
-    line() << "worker " << worker << " listed " << words[static_cast<int>(standing)]
-           << (started > 0 ? ", just started" : "") << '\n';
+  void list_worker(int worker, WorkerStatus status, int kind, Nanos started_at = 0, int cell = 0,
+                   int zone = 0) {
+    static const char* const names[] = {"gone", "ready", "draining"};
+    line() << "worker " << worker << " listed " << names[static_cast<int>(status)]
+           << (started_at > 0 ? ", just started" : "") << '\n';
     policy_->list_begins(now_, false);
-    policy_->worker_listed(worker, static_cast<std::uint64_t>(worker), standing, started, kind, zone, cell);
+    policy_->worker_listed(worker, static_cast<std::uint64_t>(worker), status, started_at, kind, zone, cell);
     policy_->list_ends();
   }
-  // A sequence that comes and is read, so that its writer is chosen.
-  void read(int seq, std::uint64_t session, double prompt, int ms, double kept = 0) {
-    came(seq, session, prompt);
-    until(now_ms() + ms);
-    ended(seq, 0, Outcome::prefill_done, kept);
+  // A request arrives and its prefill ends, so that its decode worker is chosen.
+  void prefill(int request, std::uint64_t session, double prompt_tokens, int ms, double cached_tokens = 0) {
+    arrive(request, session, prompt_tokens);
+    advance_to(now_ms() + ms);
+    end_attempt(request, 0, Outcome::prefill_done, cached_tokens);
   }
-  // One sequence from first to last, in 150 ms, over whichever workers are chosen.
-  void whole(int seq, std::uint64_t session, double prompt, double kept = 0) {
-    read(seq, session, prompt, 100, kept);
-    until(now_ms() + 50);
-    began(seq, 1);
-    ended(seq, 1, Outcome::generated);
+  // Serves a request completely, in 150 ms, at whichever workers the policy chooses.
+  void serve(int request, std::uint64_t session, double prompt_tokens, double cached_tokens = 0) {
+    prefill(request, session, prompt_tokens, 100, cached_tokens);
+    advance_to(now_ms() + 50);
+    start_stream(request, 1);
+    end_attempt(request, 1, Outcome::generated);
   }
   int now_ms() const { return static_cast<int>(now_ / kMs); }
 
-  void send(int seq, int worker, AttemptLimits limits) override {
-    sent_at_ = now_;
-    line() << "  send " << seq << " to " << worker << ", time-out " << limits.timeout / kMs << " ms";
+  void send(int request, int worker, AttemptLimits limits) override {
+    last_sent_at_ = now_;
+    line() << "  send " << request << " to " << worker << ", time-out " << limits.timeout / kMs << " ms";
     if (limits.write_deadline != kNever) text_ << ", begun by " << limits.write_deadline / kMs << " ms";
     text_ << "\n";
   }
-  void release(int seq) override { line() << "  let go of " << seq << '\n'; }
-  void cancel(int seq, int attempt) override { line() << "  cancel " << seq << "." << attempt << '\n'; }
-  void reject(int seq, Nanos after) override {
-    line() << "  reject " << seq << (after > 0 ? ", come back later" : "") << '\n';
+  void release(int request) override { line() << "  let go of " << request << '\n'; }
+  void cancel(int request, int attempt) override {
+    line() << "  cancel " << request << "." << attempt << '\n';
   }
-  void abort(int seq) override { line() << "  abort " << seq << '\n'; }
+  void reject(int request, Nanos after) override {
+    line() << "  reject " << request << (after > 0 ? ", come back later" : "") << '\n';
+  }
+  void abort(int request) override { line() << "  abort " << request << '\n'; }
   void subscribe() override { line() << "  subscribe\n"; }
   void request_wakeup(Nanos) override {}
-  void forget_request(int seq) override { line() << "  forget " << seq << '\n'; }
+  void forget_request(int request) override { line() << "  forget " << request << '\n'; }
   void forget_worker(int worker) override { line() << "  forget worker " << worker << '\n'; }
 
  private:
@@ -135,7 +140,7 @@
   std::string name_;
   std::ostringstream text_;
   Nanos now_ = 0;
-  Nanos sent_at_ = 0;
+  Nanos last_sent_at_ = 0;
   std::unique_ptr<Policy> policy_;
 };
 
