--- a/src/deployment.h
+++ b/src/deployment.h
@@ -27,7 +27,7 @@
   std::vector<WorkerKind> kinds;
   int routers{};
   int zone{};
-  Nanos tick{};
+  Nanos tick{};  // granularity of the host's time
   int max_attempts{};
   bool can_cancel{};
   bool allow_parallel_attempts{};
@@ -35,11 +35,11 @@
   Nanos max_retry_after{};
   bool needs_subscription{};  // the worker list is sent only to subscribers
   Nanos subscription_lifetime{};
-  double cross_zone_price{};
+  double cross_zone_price{};  // a share of the utility, weighed like seconds of waiting
   Nanos kv_hold_limit{};
   double cold_start_capacity{};  // share of the capacity that a worker has when it starts
   Nanos ramp_time{};             // until a started worker has its full capacity
-  double overload_factor{};
+  double overload_factor{};      // multiple of its capacity that a cold worker stands over overload_window
   Nanos overload_window{};
 };
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -85,7 +85,8 @@
 constexpr double kHomeCachedShare = 0.8;
 // Speeds of prefill workers that differ by less than this factor count as equal: waits are noisy.
 constexpr double kSpeedNoiseFactor = 2;
-// Share of a cold worker's load budget that is used, as other routers estimate theirs too.
+// Share of a cold worker's load budget that is used; the rest is margin, as every router only estimates its
+// part.
 constexpr double kColdBudgetShare = 0.5;
 
 double seconds(Nanos duration) { return static_cast<double>(duration) / static_cast<double>(kSecond); }
@@ -334,9 +335,9 @@
       state_.subscribed_at = now_;
       actions_.subscribe();
     }
-    // Thousands of requests can wait with nothing for a rule to do, so they are parked: a streaming request
-    // without another outstanding attempt until an input concerns it, a queued one until a time limit nears
-    // or it is next.
+    // Thousands of requests can be waiting without any rule applying to them, so they are parked: a streaming
+    // request without another outstanding attempt until an input concerns it, and a queued one until a time
+    // limit is near or it is next in the queue.
     state_.parked += std::erase_if(state_.active, [&](int id) {
       RequestState& request = request_at(id);
       const bool is_queued = request.stage == Stage::queued;
@@ -368,7 +369,9 @@
     return request;
   }
 
-  // The queue. Tracks the earliest time at which a time-based rule may apply to any queued request.
+  // The queue.
+
+  // Tracks the earliest time at which a time-based rule may apply to any queued request.
   void update_queue_times(const RequestState& request) {
     state_.queue_next_timeout = std::min(state_.queue_next_timeout, queue_timeout_at(request));
     state_.queue_next_deadline = std::min(state_.queue_next_deadline, request.deadline);
@@ -424,8 +427,8 @@
   // Workers: failure detection and ejection.
 
   // Guards against machines that vanish or hang and against broken links: attempts are overdue, and nothing
-  // was heard from the worker since they were sent. A lone worker in a single long step is ejected by
-  // mistake; it returns after the ejection time.
+  // was heard from the worker since they were sent. A lone worker that is busy with a single
+  // long step may be ejected by mistake; it returns after the ejection time.
   bool is_silent(const Worker& worker) const {
     if (worker.pending_attempts == 0 || worker.ejected_until > now_ || now_ <= worker.next_overdue_at)
       return false;
@@ -1031,8 +1034,7 @@
     if (!may_send(request, is_prefill) || !may_send(request, worker, is_prefill)) return;
     Attempt attempt{.worker = worker_index, .is_prefill = is_prefill, .outstanding = true, .sent_at = now_};
     const bool repeats = !is_prefill && may_have_run(request);
-    // Rule 2 when connecting is slow: the decision lies within the window, the first byte of the request may
-    // not.
+    // Rule 2: if connecting is slow, a request that is decided on within the window may be written after it.
     const Nanos write_deadline =
         repeats && type_of(request).effect == Effect::tokened ? repeat_deadline(request) : kNever;
     if (is_prefill) {
@@ -1041,8 +1043,8 @@
       attempt.prefix_recorded_at = holder.recorded_at;
       attempt.load_tokens = request.prompt_tokens - attempt.expected_cached_tokens;
       attempt.queued_tokens_ahead = worker.prefill_tokens;
-      // The cache may turn out to be gone. The overdue time has room to compute the cached tokens once, as
-      // otherwise a cache flush would make all prefill workers look dead.
+      // The cached tokens may be gone. Divided by the overdue factor, they count once in the overdue time;
+      // without them, a cache flush would make all prefill workers look dead.
       attempt.expected_duration =
           nanos(prefill_overhead() + wait_seconds(worker, seconds_per_token(worker)) +
                 (attempt.load_tokens + attempt.expected_cached_tokens / kOverdueFactor) *
