--- a/io/calls.h
+++ b/io/calls.h
@@ -1,4 +1,5 @@
-// What a scheduler asks of the kernel, counted by the name of the call. A count is one addition beside the call.
+// Counts of the system calls that an event loop and its sockets make, by call. Counting costs one addition
+// per call.
 #pragma once
 
 #include <array>
@@ -24,14 +25,15 @@
     "accept4",    "close", "connect", "epoll_ctl",  "epoll_wait",
     "getsockopt", "recv",  "send",    "setsockopt", "socket"};
 
+// Number of calls made so far, indexed by SystemCall.
 class SystemCallCounts {
  public:
-  void add(SystemCall call, std::uint64_t times = 1) { count_[static_cast<std::size_t>(call)] += times; }
-  std::uint64_t count(SystemCall call) const { return count_[static_cast<std::size_t>(call)]; }
-  const std::array<std::uint64_t, kSystemCallCount>& counts() const { return count_; }
+  void add(SystemCall call, std::uint64_t times = 1) { counts_[static_cast<std::size_t>(call)] += times; }
+  std::uint64_t count(SystemCall call) const { return counts_[static_cast<std::size_t>(call)]; }
+  const std::array<std::uint64_t, kSystemCallCount>& counts() const { return counts_; }
 
  private:
-  std::array<std::uint64_t, kSystemCallCount> count_{};
+  std::array<std::uint64_t, kSystemCallCount> counts_{};
 };
 
 }  // namespace cressrill::io
--- a/io/failure.cpp
+++ b/io/failure.cpp
@@ -9,10 +9,10 @@
 
 struct Row {
   int error;
-  ErrorClass failure;
+  ErrorClass error_class;
 };
 
-// Errors that mean the same whatever call they come from.
+// Errors with the same meaning for every call.
 constexpr std::array kAnyCall{
     Row{EINTR, ErrorClass::interrupted},         Row{EAGAIN, ErrorClass::would_block},
     Row{EWOULDBLOCK, ErrorClass::would_block},   Row{EMFILE, ErrorClass::resource_shortage},
@@ -24,7 +24,7 @@
     Row{EHOSTDOWN, ErrorClass::disconnected},
 };
 
-// A connect that cannot even begin has no port, no route or no leave on this machine.
+// A connect that fails at once lacks a local port, a route or a permission on this machine.
 constexpr std::array kConnect{
     Row{EINTR, ErrorClass::would_block},
     Row{EINPROGRESS, ErrorClass::would_block},
@@ -38,7 +38,8 @@
     Row{EACCES, ErrorClass::resource_shortage},
 };
 
-// Linux passes errors of the new connection on to accept(2): they end it, not the listener.
+// accept(2) on Linux reports pending network errors of the new connection: that connection is lost, the
+// listener works.
 constexpr std::array kAccept{
     Row{ECONNABORTED, ErrorClass::aborted},
     Row{EPROTO, ErrorClass::aborted},
@@ -68,7 +69,7 @@
   if (call == SystemCall::connect) row = find(kConnect, error);
   if (call == SystemCall::accept4) row = find(kAccept, error);
   if (row == nullptr) row = find(kAnyCall, error);
-  return row == nullptr ? ErrorClass::disconnected : row->failure;
+  return row == nullptr ? ErrorClass::disconnected : row->error_class;
 }
 
 }  // namespace cressrill::io
--- a/io/failure.h
+++ b/io/failure.h
@@ -1,5 +1,6 @@
-// What a failed system call says, by its errno: whether it is made again, waited for, or given up, and whose fault it is.
-// One table for all calls (accept(2), connect(2), recv(2), send(2), socket(2), epoll_ctl(2), tcp(7)).
+// Classifies the errno of a failed system call: whether to retry, wait or give up, and whether the peer or
+// this machine caused the failure. One table serves all calls (accept(2), connect(2), recv(2), send(2),
+// socket(2), epoll_ctl(2), tcp(7)).
 #pragma once
 
 #include <cstdint>
@@ -9,14 +10,14 @@
 namespace cressrill::io {
 
 enum class ErrorClass : std::uint8_t {
-  interrupted,  // by a signal: the call is made again at once (a connect goes on by itself)
-  would_block,  // nothing to do now; the kernel tells when there is
-  resource_shortage,  // this machine lacks memory, descriptors, ports or a route just now: no peer's fault, and it passes
-  aborted,       // accept: that connection broke before it was taken; the next one may be fine
-  disconnected,  // the peer, or the way to it, broke the connection or refuses it
+  interrupted,        // by a signal: retry at once (an interrupted connect continues by itself)
+  would_block,        // nothing to do now: wait until the kernel reports the descriptor ready
+  resource_shortage,  // temporary: this machine is short of memory, descriptors, ports or routes
+  aborted,            // accept: the connection broke before it was accepted; the next one may be fine
+  disconnected,       // the peer or the network broke or refused the connection
 };
 
-// errno of that call, which failed. An errno that the table does not have counts as disconnected.
+// error: the errno of the failed call. An errno that is not in the table counts as disconnected.
 ErrorClass classify_error(SystemCall call, int error);
 
 }  // namespace cressrill::io
