--- a/io/frames.h
+++ b/io/frames.h
@@ -1,6 +1,6 @@
-// Memory for coroutine frames: blocks of a few sizes that are used again, so that an awaited call in a steady state
-// asks the heap for nothing. Each thread has its own; a block goes back on the thread that took it. Under the
-// address sanitizer the heap itself is used, so that a frame used after its end is seen.
+// Allocator for coroutine frames: freed blocks go to per-thread free lists by size, so that a steady state of
+// awaited calls allocates nothing from the heap. A frame has to be freed on the thread that allocated it.
+// Under AddressSanitizer the heap is used directly, so that a use of a freed frame is detected.
 #pragma once
 
 #include <array>
@@ -15,12 +15,12 @@
 #ifdef __SANITIZE_ADDRESS__
     return ::operator new(size);
 #else
-    if (size > kLargest) return ::operator new(size);
-    Class& c = mine().classes_[at(size)];
-    if (c.free == nullptr) return ::operator new((at(size) + 1) * kStep);
-    --c.kept;
-    Block* block = c.free;
-    c.free = block->next;
+    if (size > kLargestBytes) return ::operator new(size);
+    SizeClass& size_class = local().classes_[class_index(size)];
+    if (size_class.free == nullptr) return ::operator new((class_index(size) + 1) * kClassStepBytes);
+    --size_class.free_count;
+    Block* block = size_class.free;
+    size_class.free = block->next;
     return block;
 #endif
   }
@@ -28,42 +28,42 @@
 #ifdef __SANITIZE_ADDRESS__
     ::operator delete(memory, size);
 #else
-    if (size > kLargest) return ::operator delete(memory);
-    Class& c = mine().classes_[at(size)];
-    if (c.kept == kMost) return ::operator delete(memory);
-    ++c.kept;
-    c.free = new (memory) Block{c.free};
+    if (size > kLargestBytes) return ::operator delete(memory);
+    SizeClass& size_class = local().classes_[class_index(size)];
+    if (size_class.free_count == kMaxFreeBlocks) return ::operator delete(memory);
+    ++size_class.free_count;
+    size_class.free = new (memory) Block{size_class.free};
 #endif
   }
   ~FrameAllocator() {
-    for (Class& c : classes_)
-      while (c.free != nullptr) {
-        Block* next = c.free->next;
-        ::operator delete(static_cast<void*>(c.free));
-        c.free = next;
+    for (SizeClass& size_class : classes_)
+      while (size_class.free != nullptr) {
+        Block* next = size_class.free->next;
+        ::operator delete(static_cast<void*>(size_class.free));
+        size_class.free = next;
       }
   }
 
  private:
-  static constexpr std::size_t kStep = 64;
-  static constexpr std::size_t kLargest = 2048;
-  static constexpr std::size_t kMost = 4096;  // blocks of a size that are kept
+  static constexpr std::size_t kClassStepBytes = 64;
+  static constexpr std::size_t kLargestBytes = 2048;
+  static constexpr std::size_t kMaxFreeBlocks = 4096;  // in each size class
   struct Block {
     Block* next;
   };
-  struct Class {
+  struct SizeClass {
     Block* free{};
-    std::size_t kept{};
+    std::size_t free_count{};
   };
-  static std::size_t at(std::size_t size) { return (size - 1) / kStep; }
-  static FrameAllocator& mine() {
-    static thread_local FrameAllocator frames;
-    return frames;
+  static std::size_t class_index(std::size_t size) { return (size - 1) / kClassStepBytes; }
+  static FrameAllocator& local() {
+    static thread_local FrameAllocator allocator;
+    return allocator;
   }
-  std::array<Class, kLargest / kStep> classes_{};
+  std::array<SizeClass, kLargestBytes / kClassStepBytes> classes_{};
 };
 
-// For promise types: their frames come from Frames.
+// Base of promise types whose coroutine frames come from FrameAllocator.
 struct FrameAllocated {
   static void* operator new(std::size_t size) { return FrameAllocator::allocate(size); }
   static void operator delete(void* memory, std::size_t size) noexcept {
--- a/io/task.h
+++ b/io/task.h
@@ -1,5 +1,6 @@
-// A lazy coroutine that is owned by whoever holds it. Destroying a Task that has not ended is how it is
-// cancelled: its frame goes, with it every local, and each wait takes itself off the scheduler's lists.
+// A lazy coroutine, owned by its Task object: it starts when it is awaited. Destroying a Task that has not
+// finished cancels it: its frame and locals are destroyed, and each pending wait removes itself from the
+// event loop's lists.
 #pragma once
 
 #include <coroutine>
@@ -20,7 +21,8 @@
   std::coroutine_handle<> caller;
   std::exception_ptr thrown;
 
-  struct Back {
+  // Resumes the coroutine that awaited this one.
+  struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
     template <class P>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
@@ -29,7 +31,7 @@
     void await_resume() noexcept {}
   };
   std::suspend_always initial_suspend() noexcept { return {}; }
-  Back final_suspend() noexcept { return {}; }
+  FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() noexcept { thrown = std::current_exception(); }
 };
 
@@ -41,14 +43,14 @@
   void return_value(U&& v) {
     value.emplace(std::forward<U>(v));
   }
-  T take() { return std::move(*value); }
+  T take_value() { return std::move(*value); }
 };
 
 template <>
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() noexcept {}
-  void take() {}
+  void take_value() {}
 };
 
 }  // namespace detail
@@ -60,16 +62,16 @@
   using Handle = std::coroutine_handle<promise_type>;
 
   Task() = default;
-  explicit Task(Handle h) : handle_(h) {}
+  explicit Task(Handle handle) : handle_(handle) {}
   Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task& operator=(Task&& other) noexcept {
     if (this != &other) {
-      drop();
+      destroy();
       handle_ = std::exchange(other.handle_, {});
     }
     return *this;
   }
-  ~Task() { drop(); }
+  ~Task() { destroy(); }
 
   bool await_ready() const noexcept { return false; }
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> caller) noexcept {
@@ -78,11 +80,11 @@
   }
   T await_resume() {
     if (handle_.promise().thrown) std::rethrow_exception(handle_.promise().thrown);
-    return handle_.promise().take();
+    return handle_.promise().take_value();
   }
 
  private:
-  void drop() {
+  void destroy() {
     if (handle_) std::exchange(handle_, {}).destroy();
   }
   Handle handle_;
