--- a/io/loop.cpp
+++ b/io/loop.cpp
@@ -12,14 +12,14 @@
 namespace cressrill::io {
 
 namespace {
-Nanos clock_now(clockid_t id) {
-  timespec t{};
-  clock_gettime(id, &t);
-  return t.tv_sec * kSecond + t.tv_nsec;
+Nanos read_system_clock(clockid_t id) {
+  timespec time{};
+  clock_gettime(id, &time);
+  return time.tv_sec * kSecond + time.tv_nsec;
 }
 }  // namespace
 
-Loop::Loop(Clock time) : epoll_(epoll_create1(EPOLL_CLOEXEC)), clock_(time) {
+Loop::Loop(Clock clock) : epoll_(epoll_create1(EPOLL_CLOEXEC)), clock_(clock) {
   if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
   if (clock_ == Clock::real) {
     read_clock();
@@ -29,14 +29,15 @@
 }
 
 Nanos Loop::wall_clock_offset() const {
-  constexpr Nanos kHandedOffset = 1'700'000'000 * kSecond;
-  return clock_ == Clock::real ? clock_now(CLOCK_REALTIME) - clock_now(CLOCK_MONOTONIC) : kHandedOffset;
+  constexpr Nanos kSimulatedOffset = 1'700'000'000 * kSecond;
+  return clock_ == Clock::real ? read_system_clock(CLOCK_REALTIME) - read_system_clock(CLOCK_MONOTONIC)
+                               : kSimulatedOffset;
 }
 
 Loop::~Loop() { ::close(epoll_); }
 
 void Loop::read_clock() {
-  if (clock_ == Clock::real) now_ = clock_now(CLOCK_MONOTONIC);
+  if (clock_ == Clock::real) now_ = read_system_clock(CLOCK_MONOTONIC);
 }
 
 void Loop::set_timer(Timer& timer, Nanos at, Waiter& waiter) {
@@ -64,12 +65,12 @@
   }
 }
 
-int Loop::register_descriptor(int fd, Readiness& watch) {
+int Loop::register_descriptor(int fd, Readiness& readiness) {
   count_call(SystemCall::epoll_ctl);
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.ptr = &watch;
-  watch.last_readable_at = now_;
+  event.data.ptr = &readiness;
+  readiness.last_readable_at = now_;
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0) {
     const int error = errno;
     report_call_failure(SystemCall::epoll_ctl, error);
@@ -87,12 +88,12 @@
 
 bool Loop::run_ready() {
   if (ready_.empty()) return false;
-  // One round: what becomes ready meanwhile waits for the next, so that sockets and timers get their turn.
+  // Coroutines that become ready meanwhile run in the next round, so that sockets and timers are not starved.
   ready_.push_back(round_end_);
   while (&ready_.front() != &round_end_) {
-    Waiter& w = ready_.front();
+    Waiter& waiter = ready_.front();
     ready_.pop_front();
-    w.handle.resume();
+    waiter.handle.resume();
   }
   ready_.pop_front();
   return true;
@@ -103,31 +104,31 @@
   std::array<epoll_event, 256> events;
   const int n = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
   if (n < 0) report_call_failure(SystemCall::epoll_wait, errno);
-  if (timeout_ms != 0) read_clock();  // it may have waited long
+  if (timeout_ms != 0) read_clock();  // the call may have blocked
   for (int i = 0; i < n; ++i) {
-    auto* watch = static_cast<Readiness*>(events[static_cast<std::size_t>(i)].data.ptr);
+    auto* readiness = static_cast<Readiness*>(events[static_cast<std::size_t>(i)].data.ptr);
     const auto bits = events[static_cast<std::size_t>(i)].events;
-    if (bits & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) watch->hung_up = true;
+    if (bits & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) readiness->hung_up = true;
     if (bits & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-      watch->readable = true;
-      watch->last_readable_at = now_;
-      if (watch->read_waiter != nullptr) make_ready(*watch->read_waiter);
+      readiness->readable = true;
+      readiness->last_readable_at = now_;
+      if (readiness->read_waiter != nullptr) make_ready(*readiness->read_waiter);
     }
     if (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
-      watch->writable = true;
-      if (watch->write_waiter != nullptr) make_ready(*watch->write_waiter);
+      readiness->writable = true;
+      if (readiness->write_waiter != nullptr) make_ready(*readiness->write_waiter);
     }
   }
   return n > 0;
 }
 
 bool Loop::fire_due_timers() {
-  return timers_.fire(now_, [this](Timer& t) { make_ready(*t.waiter); });
+  return timers_.fire(now_, [this](Timer& timer) { make_ready(*timer.waiter); });
 }
 
-// With handed time the clock may only jump once the kernel has delivered what was written. Loopback delivers in
-// the writer's own call nearly always; some moments of real time after each write cover the rest. What has not come by then
-// lies at a socket that nobody reads.
+// The simulated clock may only advance once the kernel has delivered what was written. Loopback nearly always
+// delivers within the write call itself; up to kTransitPolls milliseconds of real time after each write cover
+// the rest. Bytes that are not read by then belong to a socket that no coroutine reads.
 bool Loop::poll_in_transit() {
   if (registered_count_ == 0) return false;
   if (poll_descriptors(0)) return true;
@@ -142,14 +143,14 @@
 }
 
 bool Loop::run_until(const std::function<bool()>& done) {
-  constexpr int kRounds = 16;
+  constexpr int kRoundsBetweenPolls = 16;
   int rounds = 0;
   while (!done()) {
     read_clock();
     fire_due_timers();
     if (run_ready()) {
-      // What it made ready runs next; sockets get their turn when nothing is left, or after some rounds.
-      if (!ready_.empty() && ++rounds < kRounds) continue;
+      // Coroutines that became ready run first; sockets are polled when none is left or after some rounds.
+      if (!ready_.empty() && ++rounds < kRoundsBetweenPolls) continue;
       rounds = 0;
       if (!ready_.empty() || clock_ == Clock::simulated) poll_descriptors(0);
       continue;
@@ -184,9 +185,9 @@
   loop_.make_ready(promise.start);
 }
 
-void Scope::on_exception(std::exception_ptr thrown) noexcept {
+void Scope::handle_exception(std::exception_ptr thrown) noexcept {
   loop_.report_task_failure(std::move(thrown));
-  if (failure_ == OnException::end_process) std::terminate();
+  if (on_exception_ == OnException::end_process) std::terminate();
 }
 
 void Scope::cancel() {
--- a/io/loop.h
+++ b/io/loop.h
@@ -1,7 +1,7 @@
-// The scheduler: one thread, coroutines that are ready in the order in which they became so, timers, and
-// sockets through epoll (edge-triggered, epoll(7)). Time is the machine's monotonic clock, or is handed in: then
-// it stands still while anything can run and jumps to the next timer when nothing can, so that a run depends on
-// what was written and not on how fast the machine is.
+// Single-threaded event loop for coroutines: a FIFO queue of ready coroutines, timers, and sockets through
+// edge-triggered epoll(7). Its clock is the monotonic clock of the machine or a simulated one. The simulated
+// clock stands still while anything can run and advances to the next timer when nothing can, so that the
+// result of a run does not depend on the speed of the machine.
 #pragma once
 
 #include <boost/intrusive/list.hpp>
@@ -29,76 +29,87 @@
 namespace intrusive = boost::intrusive;
 using AutoUnlink = intrusive::link_mode<intrusive::auto_unlink>;
 
-// A suspended coroutine. Destroyed with the frame that it stands in, it leaves every list by itself.
+// A suspended coroutine, linked into at most one list. Its destructor unlinks it, so a destroyed frame leaves
+// no trace.
 struct Waiter : intrusive::list_base_hook<AutoUnlink> {
   std::coroutine_handle<> handle;
 };
 
 struct Timer : intrusive::list_base_hook<AutoUnlink> {
-  Nanos at{};
-  std::uint64_t order{};  // of those due at once, the first set runs first
+  Nanos at{};             // when it is due
+  std::uint64_t order{};  // timers with the same due time fire in the order in which they were set
   Waiter* waiter{};
 };
 
-// What the scheduler keeps of one descriptor: who waits for it, until that wait ends, and whether the last call
-// was told to wait.
+// Readiness of one registered descriptor, and the coroutines that wait for it (at most one for each
+// direction).
 struct Readiness {
   Waiter* read_waiter{};
   Waiter* write_waiter{};
-  bool readable{true};
-  bool left_unread{};  // something was seen and left: a read finds it, though no word of it will come
-  bool writable{true};
-  bool hung_up{};      // the peer has ended or broken it: what is left to read comes without further word
-  bool cancel_read{};  // the read that waits, or the next, is to end
-  std::int64_t last_readable_at{};  // when the kernel last told that something came
+  bool readable{true};  // a read may succeed; set by epoll, cleared by EAGAIN or a short read
+  bool left_unread{};   // data was seen by a peek and not read; epoll will not report it again
+  bool writable{true};  // a write may succeed; set by epoll, cleared by EAGAIN
+  bool hung_up{};       // the peer closed or broke the connection; epoll will not report remaining data
+  bool cancel_read{};   // the pending read, or else the next one, returns ECANCELED
+  std::int64_t last_readable_at{};  // time of the last epoll event that reported the descriptor readable
 };
 
-// A pause before a call is made again that failed for a lack on this machine.
+// Delay before retrying a call that failed because this machine was short of a resource.
 constexpr Nanos kResourceRetryDelay = 5 * kMs;
 
+// Not thread-safe. Owns neither coroutines nor sockets: tasks, scopes and sockets must not outlive their
+// loop.
 class Loop {
  public:
   enum class Clock { real, simulated };
 
-  explicit Loop(Clock time = Clock::real);
+  explicit Loop(Clock clock = Clock::real);
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
+  // Time at the start of the current iteration.
   Nanos now() const { return now_; }
   bool is_simulated() const { return clock_ == Clock::simulated; }
-  // Reads the clock anew: now() is of the beginning of this round, and a limit that binds at a call counts from the call.
+  // Reads the clock again and returns the new now(). For a deadline that has to count from the moment of a
+  // call, not from the start of the iteration.
   Nanos update_now() {
     read_clock();
     return now_;
   }
-  // Nanoseconds since 1970 that the wall clock of this machine shows at now() == 0, read anew: each step of that clock
-  // changes it.
+  // Offset to add to now() to get wall-clock time in nanoseconds since 1970. Read from the machine at each
+  // call, as a step of the wall clock changes it; a constant with the simulated clock.
   Nanos wall_clock_offset() const;
 
-  // Runs until done() holds or nothing is left that could ever run. Returns whether done() held.
+  // Runs until done() returns true or nothing is left that could ever run. Returns the last value of done().
   bool run_until(const std::function<bool()>& done);
+  // Runs until stop() is called or nothing is left that could ever run.
   void run() {
     stopped_ = false;
     run_until([this] { return stopped_; });
   }
   void stop() { stopped_ = true; }
 
-  // For a host that drives several schedulers in step, all on handed time: runs one round of what can run now and
-  // looks once at the sockets; whether anything happened. Then the next timer (kNoTimer: none), and the jump there.
+  // The next three calls are for a simulator that drives several loops in step, all with simulated clocks.
+  // Fires due timers and runs one round of ready coroutines or, if none was ready, polls the sockets once.
+  // Returns whether anything happened.
   bool run_once();
   static constexpr Nanos kNoTimer = TimerWheel<Timer>::kNone;
+  // Due time of the next timer, or kNoTimer.
   Nanos next_timer_at() { return timers_.next_due(); }
-  void advance_to(Nanos to) { now_ = to; }
+  void advance_to(Nanos time) { now_ = time; }
 
+  // Appends the coroutine to the ready queue. No effect while the waiter is linked into a list.
   void make_ready(Waiter& waiter) {
     if (!waiter.is_linked()) ready_.push_back(waiter);
   }
+  // Makes the waiter ready at that time, unless the timer is destroyed or set again before.
   void set_timer(Timer& timer, Nanos at, Waiter& waiter);
 
-  // co_await loop.sleep_until(t): resumes at t or, if t has passed, after those that are ready now.
+  // co_await loop.sleep_until(time) resumes at that time. A time in the past suspends too: the coroutine
+  // resumes after those that are ready now.
   struct Sleep : Waiter {
-    Sleep(Loop& l, Nanos t) : loop(l), until(t) {}
+    Sleep(Loop& owner, Nanos time) : loop(owner), until(time) {}
     Sleep(Sleep&&) = delete;
     bool await_ready() const noexcept { return false; }
     void await_suspend(std::coroutine_handle<> h) {
@@ -110,23 +121,28 @@
     Nanos until;
     Timer timer;
   };
-  Sleep sleep_until(Nanos t) { return Sleep(*this, t); }
-  Sleep sleep_for(Nanos span) { return Sleep(*this, now_ + span); }
+  Sleep sleep_until(Nanos time) { return Sleep(*this, time); }
+  Sleep sleep_for(Nanos duration) { return Sleep(*this, now_ + duration); }
 
-  // Faults that were survived: each call that failed for another reason than a peer's, and each task that an exception
-  // ended. Told as they happen, first whether it is the first of its kind.
+  // Observers of failures that the process survives: system calls that failed for a reason other than the
+  // peer, and tasks that ended with an exception. first: no failure with the same call and errno was reported
+  // before.
   using CallFailureObserver = std::function<void(SystemCall call, int error, bool first)>;
   using TaskFailureObserver = std::function<void(const char* what)>;
   void observe_failures(CallFailureObserver calls, TaskFailureObserver tasks) {
-    observe_call_failure_ = std::move(calls), observe_task_failure_ = std::move(tasks);
+    observe_call_failure_ = std::move(calls);
+    observe_task_failure_ = std::move(tasks);
   }
   void report_call_failure(SystemCall call, int error);
-  // An exception left a task that nobody waits for. It ends the program unless somebody observes it.
+  // Reports an exception that left a task which no coroutine awaits. Terminates the process if no observer is
+  // set.
   void report_task_failure(std::exception_ptr thrown) noexcept;
 
-  // For Socket alone. Returns 0, or the errno with which the descriptor could not be registered.
-  int register_descriptor(int fd, Readiness& watch);
+  // For Socket only. Returns 0, or the errno of a failed registration. readiness has to stay in place until
+  // the descriptor is deregistered.
+  int register_descriptor(int fd, Readiness& readiness);
   void deregister_descriptor(int fd);
+  // Counts bytes written to sockets (positive) or read from them (negative).
   void count_transfer(std::int64_t bytes) {
     bytes_in_transit_ += bytes;
     if (bytes > 0) transit_polls_left_ = kTransitPolls;
@@ -146,64 +162,70 @@
   Nanos now_{};
   bool stopped_{};
   std::uint64_t next_timer_order_{};
-  static constexpr int kTransitPolls = 8;  // of a millisecond each, on handed time
+  static constexpr int kTransitPolls = 8;  // polls of 1 ms each after a write, with the simulated clock
   int transit_polls_left_{};
-  std::int64_t bytes_in_transit_{};  // bytes written less bytes read: with both ends here, what is on its way
+  std::int64_t
+      bytes_in_transit_{};  // written less read: what is in the kernel, if both ends are on this loop
   std::size_t registered_count_{};
   SystemCallCounts system_calls_;
   std::vector<std::pair<SystemCall, int>> reported_failures_;
   CallFailureObserver observe_call_failure_;
   TaskFailureObserver observe_task_failure_;
-  Waiter round_end_;
+  Waiter round_end_;  // marks the end of the current round in the ready queue
   intrusive::list<Waiter, intrusive::constant_time_size<false>> ready_;
   TimerWheel<Timer> timers_;
 };
 
-// Owns coroutines that run on their own. Dropping the scope, or cancel(), cancels them all; never from
-// inside one of them.
+// Owns concurrent tasks. Its destructor, or cancel(), cancels all of them; neither may be called from inside
+// one of them.
 class Scope {
  public:
-  // What an exception that leaves one of its tasks ends: that task alone, or the program, where nothing works without it.
+  // What an exception that leaves a task ends: only that task, or the process, if it cannot work without the
+  // task.
   enum class OnException { end_task, end_process };
 
-  explicit Scope(Loop& loop, OnException failure = OnException::end_task) : loop_(loop), failure_(failure) {}
+  explicit Scope(Loop& loop, OnException on_exception = OnException::end_task)
+      : loop_(loop), on_exception_(on_exception) {}
   ~Scope() { cancel(); }
   Scope(const Scope&) = delete;
   Scope& operator=(const Scope&) = delete;
 
-  // Starts after those that are ready now. An exception that leaves the task goes to Loop::task_failed(), and further
-  // as the scope was told.
+  // Starts the task after the coroutines that are ready now. An exception that leaves it is reported to
+  // Loop::report_task_failure() and then handled as OnException says.
   void spawn(Task<> task);
   void cancel();
+  // Whether all tasks have finished.
   bool empty() const { return roots_.empty(); }
 
  private:
+  // Top-level coroutine of a spawned task; its frame destroys itself when the task has finished.
   struct Root {
     struct promise_type : FrameAllocated, intrusive::list_base_hook<AutoUnlink> {
       Waiter start;
       Scope* scope{};
       Root get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
       std::suspend_always initial_suspend() noexcept { return {}; }
-      struct End {
+      struct DestroyFrame {
         bool await_ready() noexcept { return false; }
         void await_suspend(std::coroutine_handle<promise_type> h) noexcept { h.destroy(); }
         void await_resume() noexcept {}
       };
-      End final_suspend() noexcept { return {}; }
+      DestroyFrame final_suspend() noexcept { return {}; }
       void return_void() noexcept {}
-      void unhandled_exception() noexcept { scope->on_exception(std::current_exception()); }
+      void unhandled_exception() noexcept { scope->handle_exception(std::current_exception()); }
     };
     std::coroutine_handle<promise_type> handle;
   };
   static Root root(Task<> task);
-  void on_exception(std::exception_ptr thrown) noexcept;
+  void handle_exception(std::exception_ptr thrown) noexcept;
 
   Loop& loop_;
-  OnException failure_;
+  OnException on_exception_;
   intrusive::list<Root::promise_type, intrusive::constant_time_size<false>> roots_;
 };
 
-// One or more coroutines wait until another says so. A signal that nobody waits for is kept, once.
+// Condition signal between coroutines of one loop. notify() wakes all that wait; with no waiter, it is
+// remembered (once) and the next wait() returns at once.
 class Signal {
  public:
   explicit Signal(Loop& loop) : loop_(loop) {}
@@ -213,18 +235,18 @@
       return;
     }
     while (!waiters_.empty()) {
-      Waiter& w = waiters_.front();
+      Waiter& waiter = waiters_.front();
       waiters_.pop_front();
-      loop_.make_ready(w);
+      loop_.make_ready(waiter);
     }
   }
   struct Wait : Waiter {
-    explicit Wait(Signal& s) : signal(s) {}
+    explicit Wait(Signal& awaited) : signal(awaited) {}
     Wait(Wait&&) = delete;
     bool await_ready() const noexcept {
-      const bool was = signal.set_;
+      const bool was_set = signal.set_;
       signal.set_ = false;
-      return was;
+      return was_set;
     }
     void await_suspend(std::coroutine_handle<> h) {
       handle = h;
@@ -237,29 +259,30 @@
 
  private:
   Loop& loop_;
-  bool set_{};
+  bool set_{};  // notified while no coroutine waited
   intrusive::list<Waiter, intrusive::constant_time_size<false>> waiters_;
 };
 
-// Runs a task for so long at most; nothing comes back if the time ended first, and the task is cancelled.
+// Runs a task until the deadline at most: returns its result or, if the deadline came first, cancels the task
+// and returns nothing.
 template <class T>
 Task<std::optional<T>> with_deadline(Loop& loop, Nanos deadline, Task<T> task) {
   std::optional<T> result;
   Signal done(loop);
   Scope scope(loop);
-  scope.spawn([](Task<T> inner, std::optional<T>& to, Signal& s) -> Task<> {
-    to.emplace(co_await std::move(inner));
-    s.notify();
+  scope.spawn([](Task<T> inner, std::optional<T>& out, Signal& finished) -> Task<> {
+    out.emplace(co_await std::move(inner));
+    finished.notify();
   }(std::move(task), result, done));
-  scope.spawn([](Loop& l, Nanos until, Signal& s) -> Task<> {
+  scope.spawn([](Loop& l, Nanos until, Signal& finished) -> Task<> {
     co_await l.sleep_until(until);
-    s.notify();
+    finished.notify();
   }(loop, deadline, done));
   co_await done.wait();
   co_return result;
 }
 
-// Waits for a signal until then at most.
+// Waits until the signal is notified or the deadline has passed.
 inline Task<> wait_until(Loop& loop, Signal& signal, Nanos deadline) {
   co_await with_deadline(loop, deadline, [](Signal& s) -> Task<bool> {
     co_await s.wait();
