--- a/io/signals.cpp
+++ b/io/signals.cpp
@@ -11,12 +11,14 @@
 namespace cressrill::io {
 
 namespace {
-int told = -1;
-void tell(int number) {
-  const int kept = errno;
-  const char one = static_cast<char>(number);
-  static_cast<void>(!::write(told, &one, 1));
-  errno = kept;
+int sender_fd = -1;  // of the SignalSet that exists, for the signal handler
+
+// Signal handler: passes the number on through the socket pair.
+void send_number(int number) {
+  const int saved_errno = errno;
+  const char byte = static_cast<char>(number);
+  static_cast<void>(!::write(sender_fd, &byte, 1));
+  errno = saved_errno;
 }
 }  // namespace
 
@@ -24,20 +26,20 @@
   int pair[2];
   if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair) != 0)
     throw std::system_error(errno, std::generic_category(), "socketpair");
-  heard_ = Socket(loop, pair[0]);
-  told = told_ = pair[1];
-  for (const int n : numbers_) std::signal(n, tell);
+  receiver_ = Socket(loop, pair[0]);
+  sender_fd = sender_fd_ = pair[1];
+  for (const int n : numbers_) std::signal(n, send_number);
 }
 
 SignalSet::~SignalSet() {
   for (const int n : numbers_) std::signal(n, SIG_DFL);
-  ::close(told_);
+  ::close(sender_fd_);
 }
 
 Task<int> SignalSet::wait() {
   std::array<char, 1> number{};
-  // A read that fails tells of no signal.
-  while ((co_await heard_.read_some(number)).bytes == 0) co_await loop_.sleep_for(kResourceRetryDelay);
+  // A failed read carries no signal number: read again after a pause.
+  while ((co_await receiver_.read_some(number)).bytes == 0) co_await loop_.sleep_for(kResourceRetryDelay);
   co_return number[0];
 }
 
--- a/io/signals.h
+++ b/io/signals.h
@@ -1,4 +1,5 @@
-// Signals as something to wait for: StopSignal for SIGTERM and SIGINT. One for each process.
+// Process signals (signal(7)) that coroutines can wait for. At most one SignalSet may exist in a process at a
+// time.
 #pragma once
 
 #include <initializer_list>
@@ -8,20 +9,22 @@
 
 namespace cressrill::io {
 
+// Handles the given signals while it exists; its destructor restores their default action.
 class SignalSet {
  public:
   SignalSet(Loop& loop, std::initializer_list<int> numbers);
   ~SignalSet();
-  // The number of the next one that came.
+  // Waits for the next signal and returns its number.
   Task<int> wait();
 
  private:
   Loop& loop_;
-  Socket heard_;
-  int told_;
+  Socket receiver_;  // the handler's bytes arrive here
+  int sender_fd_;    // the handler writes here
   std::vector<int> numbers_;
 };
 
+// SIGTERM and SIGINT.
 class StopSignal {
  public:
   explicit StopSignal(Loop& loop);
@@ -31,10 +34,11 @@
   SignalSet signals_;
 };
 
-// A write to a pipe or socket whose reader has gone fails with EPIPE, and does not end the process.
+// Ignores SIGPIPE: a write to a pipe or socket whose reader has closed fails with EPIPE and does not end the
+// process.
 void ignore_sigpipe();
 
-// Runs until one of the signals comes.
+// Runs the loop until SIGTERM or SIGINT arrives.
 void run_until_stop_signal(Loop& loop);
 
 }  // namespace cressrill::io
