--- a/io/socket.cpp
+++ b/io/socket.cpp
@@ -18,11 +18,11 @@
 namespace cressrill::io {
 
 namespace {
-sockaddr_in raw(Address a) {
+sockaddr_in to_sockaddr(Address address) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
-  out.sin_port = htons(a.port);
-  out.sin_addr.s_addr = htonl(a.ip);
+  out.sin_port = htons(address.port);
+  out.sin_addr.s_addr = htonl(address.ip);
   return out;
 }
 int new_socket() {
@@ -30,22 +30,23 @@
   if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
   return fd;
 }
-// Both return how many calls they made.
-std::uint64_t no_delay(int fd) {
+// These two return the number of system calls that they made.
+std::uint64_t set_no_delay(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   return 1;
 }
-// A peer whose machine is gone sends no end: after some 25 s without a word the kernel breaks the connection.
-std::uint64_t keep_asking(int fd) {
-  const int on = 1, idle_s = 10, every_s = 5, times = 3;
+// Keepalive probes detect a peer whose machine is down and sends no FIN: the kernel breaks the connection
+// after about 25 s of silence.
+std::uint64_t enable_keepalive(int fd) {
+  const int on = 1, idle_s = 10, interval_s = 5, probes = 3;
   setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &every_s, sizeof every_s);
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &times, sizeof times);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
   return 4;
 }
-// What became of a connect (SO_ERROR), or why that is not known.
+// Result of a connect that was in progress (SO_ERROR), or the errno of getsockopt(2).
 int pending_error(Loop& loop, int fd) {
   int pending = 0;
   socklen_t size = sizeof pending;
@@ -76,8 +77,9 @@
   return Address{ntohl(parsed.s_addr), port};
 }
 
+// Waits until a direction is ready, or is made ready by someone else: the caller checks why.
 struct Socket::ReadyWait : Waiter {
-  ReadyWait(Readiness& w, Side s) : readiness(&w), side(s) {}
+  ReadyWait(Readiness& awaited, Side direction) : readiness(&awaited), side(direction) {}
   ReadyWait(ReadyWait&&) = delete;
   ~ReadyWait() {
     if (readiness != nullptr && slot() == this) slot() = nullptr;
@@ -89,7 +91,7 @@
     slot() = this;
   }
   void await_resume() const noexcept {}
-  Readiness* readiness;  // null once the socket was closed under the wait
+  Readiness* readiness;  // null once the socket was closed during the wait
   Side side;
 };
 
@@ -100,10 +102,10 @@
   throw std::system_error(error, std::generic_category(), "epoll_ctl");
 }
 
-int Socket::adopt(Loop& loop, int fd, Socket& to) {
+int Socket::adopt(Loop& loop, int fd, Socket& out) {
   auto state = std::unique_ptr<State>(new State{loop, fd, {}, 0, false, false, false});
   const int error = loop.register_descriptor(fd, state->readiness);
-  if (error == 0) to.state_ = std::move(state);
+  if (error == 0) out.state_ = std::move(state);
   return error;
 }
 
@@ -118,13 +120,16 @@
 void Socket::close(bool reset) {
   if (!state_) return;
   if (reset) {
-    const linger hard{1, 0};
+    const linger send_reset{1, 0};
     state_->loop.count_call(SystemCall::setsockopt);
-    setsockopt(state_->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    setsockopt(state_->fd, SOL_SOCKET, SO_LINGER, &send_reset, sizeof send_reset);
   }
-  // A coroutine that waits on this socket is woken and finds the error by its next call.
-  for (Waiter* w : {state_->readiness.read_waiter, state_->readiness.write_waiter})
-    if (w != nullptr) static_cast<ReadyWait*>(w)->readiness = nullptr, state_->loop.make_ready(*w);
+  // Wakes the coroutines that wait on this socket; they return EBADF.
+  for (Waiter* waiter : {state_->readiness.read_waiter, state_->readiness.write_waiter})
+    if (waiter != nullptr) {
+      static_cast<ReadyWait*>(waiter)->readiness = nullptr;
+      state_->loop.make_ready(*waiter);
+    }
   state_->loop.deregister_descriptor(state_->fd);
   state_->loop.count_call(SystemCall::close);
   ::close(state_->fd);
@@ -132,26 +137,27 @@
 }
 
 Task<bool> Socket::should_retry(SystemCall call, int error) {
-  const ErrorClass failure = classify_error(call, error);
-  if (failure != ErrorClass::interrupted && failure != ErrorClass::resource_shortage) co_return false;
+  const ErrorClass error_class = classify_error(call, error);
+  if (error_class != ErrorClass::interrupted && error_class != ErrorClass::resource_shortage) co_return false;
   state_->loop.report_call_failure(call, error);
-  if (failure == ErrorClass::resource_shortage) co_await state_->loop.sleep_for(kResourceRetryDelay);
+  if (error_class == ErrorClass::resource_shortage) co_await state_->loop.sleep_for(kResourceRetryDelay);
   co_return true;
 }
 
-// A read that ends short mostly means that nothing is left, and the kernel tells of what comes (epoll(7)). It may also end
-// short by itself, and then nothing is told: so after a while it is looked once.
+// A short read usually means that the receive buffer is empty and that epoll(7) will report new data. A read
+// can also return short while data remains, which epoll does not report again: so one probe read is made
+// after a delay.
 Task<> Socket::wait_readable() {
-  constexpr Nanos kLookAfter = 50 * kMs;
+  constexpr Nanos kProbeDelay = 50 * kMs;
   ReadyWait ready(state_->readiness, Side::read);
   Timer timer;
-  if (!state_->looked) state_->loop.set_timer(timer, state_->loop.now() + kLookAfter, ready);
+  if (!state_->probed) state_->loop.set_timer(timer, state_->loop.now() + kProbeDelay, ready);
   co_await ready;
   if (!state_ || state_->readiness.readable || state_->readiness.cancel_read) co_return;
-  state_->looked = state_->looking = state_->readiness.readable = true;
+  state_->probed = state_->probing = state_->readiness.readable = true;
 }
 
-Task<IoResult> Socket::read_some(std::span<char> to) {
+Task<IoResult> Socket::read_some(std::span<char> buffer) {
   for (;;) {
     if (!state_) co_return IoResult{0, EBADF};
     if (std::exchange(state_->readiness.cancel_read, false)) co_return IoResult{0, ECANCELED};
@@ -159,53 +165,55 @@
       co_await wait_readable();
       continue;
     }
-    // What was seen and left may be more than one read takes, and no further word of it comes.
+    // Data left unread by a peek may exceed one read, and epoll does not report it again.
     if (std::exchange(state_->readiness.left_unread, false)) state_->readiness.readable = true;
     state_->loop.count_call(SystemCall::recv);
-    const ssize_t n = ::recv(state_->fd, to.data(), to.size(), 0);
+    const ssize_t n = ::recv(state_->fd, buffer.data(), buffer.size(), 0);
     if (n >= 0) {
       state_->loop.count_transfer(-n);
-      state_->short_reads |= std::exchange(state_->looking, false) && n > 0;
-      state_->looked = false;
-      const bool may_be_all = static_cast<std::size_t>(n) < to.size() && !state_->short_reads;
+      state_->short_reads |= std::exchange(state_->probing, false) && n > 0;
+      state_->probed = false;
+      const bool may_be_all = static_cast<std::size_t>(n) < buffer.size() && !state_->short_reads;
       if (may_be_all) state_->readiness.readable = state_->readiness.hung_up;
       co_return IoResult{static_cast<std::size_t>(n), 0};
     }
     const int error = errno;
     if (error == EAGAIN) {
-      state_->readiness.readable = state_->looking = false;
+      state_->readiness.readable = state_->probing = false;
     } else if (!co_await should_retry(SystemCall::recv, error)) {
       co_return IoResult{0, error};
     }
   }
 }
 
-void Socket::set_write_stall_timeout(Nanos span) {
-  if (state_) state_->write_stall = span;
+void Socket::set_write_stall_timeout(Nanos timeout) {
+  if (state_) state_->write_stall_timeout = timeout;
 }
 
-// Whether the kernel takes more within the bound; also where the socket was closed meanwhile. It says so only once much of
-// its buffer is free: a peer that takes some of it, however slowly, does not stall.
+// Waits until the kernel accepts more data or the socket is closed; returns false after write_stall_timeout
+// without progress. epoll reports a socket writable only once much of its send buffer is free, so progress is
+// also measured by the unacknowledged bytes: a peer that reads slowly does not count as stalled.
 Task<bool> Socket::wait_writable() {
-  constexpr Nanos kLooks = 4;  // in the time that a peer may stall
+  constexpr Nanos kChecksPerTimeout = 4;
   state_->readiness.writable = false;
-  if (state_->write_stall == 0) {
+  if (state_->write_stall_timeout == 0) {
     co_await ReadyWait(state_->readiness, Side::write);
     co_return true;
   }
-  int least = unacknowledged_bytes();
-  Nanos taken_at = state_->loop.now();
+  int least_unacknowledged = unacknowledged_bytes();
+  Nanos last_progress_at = state_->loop.now();
   for (;;) {
     ReadyWait ready(state_->readiness, Side::write);
     Timer timer;
-    state_->loop.set_timer(timer, state_->loop.now() + state_->write_stall / kLooks, ready);
+    state_->loop.set_timer(timer, state_->loop.now() + state_->write_stall_timeout / kChecksPerTimeout,
+                           ready);
     co_await ready;
     if (!state_ || state_->readiness.writable) co_return true;
-    if (const int left = unacknowledged_bytes(); left < least) {
-      least = left;
-      taken_at = state_->loop.now();
+    if (const int left = unacknowledged_bytes(); left < least_unacknowledged) {
+      least_unacknowledged = left;
+      last_progress_at = state_->loop.now();
     }
-    if (state_->loop.now() - taken_at >= state_->write_stall) co_return false;
+    if (state_->loop.now() - last_progress_at >= state_->write_stall_timeout) co_return false;
   }
 }
 
@@ -214,12 +222,12 @@
   return ::ioctl(state_->fd, SIOCOUTQ, &bytes) == 0 ? bytes : 0;
 }
 
-Task<IoResult> Socket::write_all(std::string_view from) {
+Task<IoResult> Socket::write_all(std::string_view data) {
   std::size_t sent = 0;
-  while (sent < from.size()) {
+  while (sent < data.size()) {
     if (!state_) co_return IoResult{sent, EBADF};
     state_->loop.count_call(SystemCall::send);
-    const ssize_t n = ::send(state_->fd, from.data() + sent, from.size() - sent, MSG_NOSIGNAL);
+    const ssize_t n = ::send(state_->fd, data.data() + sent, data.size() - sent, MSG_NOSIGNAL);
     const int error = n < 0 ? errno : 0;
     if (n > 0) {
       state_->loop.count_transfer(n);
@@ -234,35 +242,43 @@
 }
 
 Task<IoResult> Socket::write_all(std::span<const std::string_view> parts) {
-  constexpr std::size_t kMost = 16;
-  std::size_t sent = 0;      // of all
-  std::size_t first = 0;     // the part that is not whole yet,
-  std::size_t of_first = 0;  // and how much of it is gone
+  constexpr std::size_t kMaxPartsPerCall = 16;
+  std::size_t sent = 0;        // bytes of all parts together
+  std::size_t first = 0;       // index of the first part that is not completely sent
+  std::size_t first_sent = 0;  // bytes of that part that are sent
   for (;;) {
-    while (first < parts.size() && of_first == parts[first].size()) ++first, of_first = 0;
+    while (first < parts.size() && first_sent == parts[first].size()) {
+      ++first;
+      first_sent = 0;
+    }
     if (first == parts.size()) co_return IoResult{sent, 0};
     if (!state_) co_return IoResult{sent, EBADF};
-    std::array<iovec, kMost> list;
-    std::size_t n = 0;
-    for (std::size_t i = first; i < parts.size() && n < kMost; ++i) {
-      const std::string_view rest = parts[i].substr(i == first ? of_first : 0);
-      if (!rest.empty()) list[n++] = {const_cast<char*>(rest.data()), rest.size()};
+    std::array<iovec, kMaxPartsPerCall> buffers;
+    std::size_t count = 0;
+    for (std::size_t i = first; i < parts.size() && count < kMaxPartsPerCall; ++i) {
+      const std::string_view rest = parts[i].substr(i == first ? first_sent : 0);
+      if (!rest.empty()) buffers[count++] = {const_cast<char*>(rest.data()), rest.size()};
     }
     msghdr message{};
-    message.msg_iov = list.data(), message.msg_iovlen = n;
+    message.msg_iov = buffers.data();
+    message.msg_iovlen = count;
     state_->loop.count_call(SystemCall::send);
-    const ssize_t took = ::sendmsg(state_->fd, &message, MSG_NOSIGNAL);
-    if (took > 0) {
-      state_->loop.count_transfer(took);
-      sent += static_cast<std::size_t>(took);
-      for (auto left = static_cast<std::size_t>(took); left > 0;) {
-        const std::size_t here = std::min(left, parts[first].size() - of_first);
-        left -= here, of_first += here;
-        if (of_first == parts[first].size()) ++first, of_first = 0;
+    const ssize_t n = ::sendmsg(state_->fd, &message, MSG_NOSIGNAL);
+    if (n > 0) {
+      state_->loop.count_transfer(n);
+      sent += static_cast<std::size_t>(n);
+      for (auto left = static_cast<std::size_t>(n); left > 0;) {
+        const std::size_t from_first = std::min(left, parts[first].size() - first_sent);
+        left -= from_first;
+        first_sent += from_first;
+        if (first_sent == parts[first].size()) {
+          ++first;
+          first_sent = 0;
+        }
       }
       continue;
     }
-    const int error = took < 0 ? errno : 0;
+    const int error = n < 0 ? errno : 0;
     if (error == EAGAIN) {
       if (!co_await wait_writable()) co_return IoResult{sent, ETIMEDOUT};
     } else if (!co_await should_retry(SystemCall::send, error == 0 ? ENOBUFS : error)) {
@@ -286,9 +302,11 @@
       if (!co_await should_retry(SystemCall::recv, error)) co_return;
       continue;
     }
-    // Unread bytes hide the peer's end from a look at the first of them; the kernel has told of it (EPOLLRDHUP).
+    // With unread data, a peek does not see the end of the stream behind it; epoll has reported it
+    // (EPOLLRDHUP).
     if (n > 0 && state_->readiness.hung_up) co_return;
-    state_->readiness.readable = false, state_->readiness.left_unread = n > 0;
+    state_->readiness.readable = false;
+    state_->readiness.left_unread = n > 0;
   }
 }
 
@@ -302,36 +320,36 @@
 
 bool Socket::is_stale() const {
   if (!state_) return true;
-  const ssize_t seen = peek();
-  return seen >= 0 || classify_error(SystemCall::recv, errno) != ErrorClass::would_block;
+  const ssize_t n = peek();
+  return n >= 0 || classify_error(SystemCall::recv, errno) != ErrorClass::would_block;
 }
 
 Nanos Socket::last_received_at() const {
   if (!state_) return 0;
   Loop& loop = state_->loop;
-  const Nanos told = state_->readiness.last_readable_at;
-  if (loop.is_simulated()) return told;
+  const Nanos reported_at = state_->readiness.last_readable_at;
+  if (loop.is_simulated()) return reported_at;
   tcp_info info{};
   socklen_t size = sizeof info;
   loop.count_call(SystemCall::getsockopt);
-  if (getsockopt(state_->fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return told;
-  // Of whole milliseconds, and not yet counted where nothing has come.
-  return std::min(told, loop.now() - static_cast<Nanos>(info.tcpi_last_data_recv) * kMs);
+  if (getsockopt(state_->fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return reported_at;
+  // In whole milliseconds, and not meaningful before the first data has been received.
+  return std::min(reported_at, loop.now() - static_cast<Nanos>(info.tcpi_last_data_recv) * kMs);
 }
 
 bool Socket::has_unread_data() const { return state_ && peek() > 0; }
 
 ssize_t Socket::peek() const {
-  char one;
+  char byte;
   for (;;) {
     state_->loop.count_call(SystemCall::recv);
-    const ssize_t n = ::recv(state_->fd, &one, 1, MSG_PEEK);
+    const ssize_t n = ::recv(state_->fd, &byte, 1, MSG_PEEK);
     if (n >= 0 || errno != EINTR) return n;
     state_->loop.report_call_failure(SystemCall::recv, EINTR);
   }
 }
 
-Task<IoResult> connect(Loop& loop, Address address, Socket& to) {
+Task<IoResult> connect(Loop& loop, Address address, Socket& out) {
   loop.count_call(SystemCall::socket);
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) {
@@ -339,14 +357,15 @@
     loop.report_call_failure(SystemCall::socket, error);
     co_return IoResult{0, error};
   }
-  loop.count_call(SystemCall::setsockopt, no_delay(fd) + keep_asking(fd));
+  loop.count_call(SystemCall::setsockopt, set_no_delay(fd) + enable_keepalive(fd));
   loop.count_call(SystemCall::connect);
-  const sockaddr_in target = raw(address);
-  const int begun = ::connect(fd, reinterpret_cast<const sockaddr*>(&target), sizeof target);
-  const int error = begun == 0 ? 0 : errno;
-  // One that was interrupted goes on by itself, as one that is under way: connect(2).
-  const bool under_way = error != 0 && classify_error(SystemCall::connect, error) == ErrorClass::would_block;
-  if (error != 0 && !under_way) {
+  const sockaddr_in target = to_sockaddr(address);
+  const int result = ::connect(fd, reinterpret_cast<const sockaddr*>(&target), sizeof target);
+  const int error = result == 0 ? 0 : errno;
+  // An interrupted connect continues in the background like one that is in progress (connect(2)).
+  const bool in_progress =
+      error != 0 && classify_error(SystemCall::connect, error) == ErrorClass::would_block;
+  if (error != 0 && !in_progress) {
     if (classify_error(SystemCall::connect, error) == ErrorClass::resource_shortage)
       loop.report_call_failure(SystemCall::connect, error);
     ::close(fd);
@@ -354,17 +373,18 @@
   }
   if (error == EINTR) loop.report_call_failure(SystemCall::connect, error);
   Socket socket;
-  if (const int lack = Socket::adopt(loop, fd, socket); lack != 0) {
+  if (const int adopt_error = Socket::adopt(loop, fd, socket); adopt_error != 0) {
     ::close(fd);
-    co_return IoResult{0, lack};
+    co_return IoResult{0, adopt_error};
   }
-  if (under_way) {
+  if (in_progress) {
     socket.state_->readiness.writable = false;
     co_await Socket::ReadyWait(socket.state_->readiness, Socket::Side::write);
     if (!socket.state_) co_return IoResult{0, EBADF};
-    if (const int failed = pending_error(loop, fd); failed != 0) co_return IoResult{0, failed};
+    if (const int connect_error = pending_error(loop, fd); connect_error != 0)
+      co_return IoResult{0, connect_error};
   }
-  to = std::move(socket);
+  out = std::move(socket);
   co_return IoResult{0, 0};
 }
 
@@ -373,14 +393,14 @@
   socket_ = Socket(loop, fd);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  const sockaddr_in wanted = raw(address);
-  if (::bind(fd, reinterpret_cast<const sockaddr*>(&wanted), sizeof wanted) != 0 ||
+  const sockaddr_in requested = to_sockaddr(address);
+  if (::bind(fd, reinterpret_cast<const sockaddr*>(&requested), sizeof requested) != 0 ||
       ::listen(fd, backlog) != 0)
     throw std::system_error(errno, std::generic_category(), "listen on " + address.to_string());
-  sockaddr_in taken{};
-  socklen_t size = sizeof taken;
-  getsockname(fd, reinterpret_cast<sockaddr*>(&taken), &size);
-  address_.port = ntohs(taken.sin_port);
+  sockaddr_in bound{};
+  socklen_t size = sizeof bound;
+  getsockname(fd, reinterpret_cast<sockaddr*>(&bound), &size);
+  address_.port = ntohs(bound.sin_port);
 }
 
 void Listener::close() {
@@ -416,32 +436,32 @@
   co_return Socket{};
 }
 
-// Guards against a loop that stands still for all connections while accept fails: a lack of this machine passes in time,
-// and a queue full of broken connections is gone through a few at a time.
+// Keeps a failing accept from blocking the event loop for all other connections: waits while this machine is
+// short of a resource, and after every kErrorsPerPause connections that broke in the queue.
 Task<> Listener::back_off(int error, int& failures) {
-  constexpr int kAtOnce = 4;
+  constexpr int kErrorsPerPause = 4;
   loop_.report_call_failure(SystemCall::accept4, error);
   if (classify_error(SystemCall::accept4, error) != ErrorClass::resource_shortage &&
-      ++failures % kAtOnce != 0)
+      ++failures % kErrorsPerPause != 0)
     co_return;
   co_await loop_.sleep_for(kResourceRetryDelay);
 }
 
-int Listener::try_accept(Socket& to) {
+int Listener::try_accept(Socket& out) {
   if (unregistered_ < 0) {
     loop_.count_call(SystemCall::accept4);
     unregistered_ = ::accept4(socket_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (unregistered_ < 0) return errno;
-    loop_.count_call(SystemCall::setsockopt, no_delay(unregistered_));
+    loop_.count_call(SystemCall::setsockopt, set_no_delay(unregistered_));
   }
-  // One that cannot be registered is kept: its client may have sent a request.
-  const int error = Socket::adopt(loop_, unregistered_, to);
+  // A connection that cannot be registered is kept and retried: its client may have sent a request already.
+  const int error = Socket::adopt(loop_, unregistered_, out);
   if (error == 0) unregistered_ = -1;
   return error;
 }
 
-void Listener::set_backlog(int n) {
-  if (socket_.is_open()) ::listen(socket_.fd(), n);
+void Listener::set_backlog(int backlog) {
+  if (socket_.is_open()) ::listen(socket_.fd(), backlog);
 }
 
 }  // namespace cressrill::io
--- a/io/socket.h
+++ b/io/socket.h
@@ -1,5 +1,6 @@
-// TCP sockets (tcp(7)) on the scheduler. Every descriptor has one owner and closes with it; a wait that is
-// cancelled leaves the socket usable. Errors are errno values in results; none is thrown but by make_listener.
+// TCP sockets (tcp(7)) on an event loop. A Socket or Listener owns its descriptor and closes it when
+// destroyed. A cancelled wait leaves the socket usable. Errors are returned as errno values; only
+// constructors throw.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,58 +16,65 @@
 
 namespace cressrill::io {
 
-// An IPv4 address and port, as "127.0.0.1:8080".
+// An IPv4 address and port; the text form is "127.0.0.1:8080".
 struct Address {
   std::uint32_t ip{};  // host byte order
   std::uint16_t port{};
   std::string to_string() const;
   friend bool operator==(const Address&, const Address&) = default;
 };
+// Nothing if the text is not exactly an address and a port.
 std::optional<Address> parse_address(std::string_view text);
 
 struct IoResult {
-  std::size_t bytes{};  // read: 0 without an error means that the peer has ended
+  std::size_t bytes{};  // for a read, 0 without an error is the end of the stream
   int error{};          // errno, 0 for none
   bool ok() const { return error == 0; }
 };
 
+// A connected, non-blocking TCP socket, or none. At most one coroutine may read or wait for the peer's close
+// at a time, and at most one may write.
 class Socket {
  public:
   Socket() = default;
-  // Takes the descriptor, and closes it where it cannot be registered: throws std::system_error then.
+  // Takes ownership of the descriptor. If it cannot be registered, closes it and throws std::system_error.
   Socket(Loop& loop, int fd);
-  // The same without an exception: an open socket, or errno and the descriptor still the caller's.
-  static int adopt(Loop& loop, int fd, Socket& to);
+  // The same without an exception: returns 0 and an open socket, or errno; the caller then still owns the
+  // descriptor.
+  static int adopt(Loop& loop, int fd, Socket& out);
   Socket(Socket&&) noexcept = default;
   Socket& operator=(Socket&&) noexcept;
   ~Socket() { close(); }
 
   bool is_open() const { return state_ != nullptr; }
   int fd() const { return state_->fd; }
-  // Closes at once. With reset, the peer sees a broken connection (RST) instead of an ordered end (FIN).
+  // Closes at once; a pending read or write fails with EBADF. With reset, the peer gets an RST instead of a
+  // FIN.
   void close(bool reset = false);
 
-  Task<IoResult> read_some(std::span<char> to);
-  // All of it, or the error; bytes tells how much the kernel took. Several texts go in as few calls as can be
-  // (sendmsg(2)); they stay the caller's until it is done.
-  Task<IoResult> write_all(std::string_view from);
+  // Suspends until data, the end of the stream or an error is there.
+  Task<IoResult> read_some(std::span<char> buffer);
+  // Writes everything, or returns the error; bytes is what the kernel accepted. Several parts are written
+  // with as few calls as possible (sendmsg(2)). The data has to stay valid until the task has finished.
+  Task<IoResult> write_all(std::string_view data);
   Task<IoResult> write_all(std::span<const std::string_view> parts);
-  // From now on a write of which the peer takes nothing for so long ends with ETIMEDOUT. 0, as at first: no such bound.
-  void set_write_stall_timeout(Nanos span);
-  // Waits until the peer ends or breaks the connection; what it sends meanwhile is left unread.
+  // A write fails with ETIMEDOUT once the peer has accepted no byte for this long. 0 (the default): no limit.
+  void set_write_stall_timeout(Nanos timeout);
+  // Waits until the peer closes or breaks the connection. Data that it sends meanwhile stays unread.
   Task<> wait_for_peer_close();
-  // Whether it has, as far as the kernel has told.
+  // Whether the peer has closed or broken the connection, as of the last epoll event.
   bool peer_closed() const;
-  // The read that waits, or else the next one, ends with ECANCELED; the socket stays as it is.
+  // The pending read, or else the next one, returns ECANCELED. The socket stays open and usable.
   void cancel_read();
-  // Whether the peer has closed or sent something unasked: such a kept connection is of no use.
+  // For an idle connection: whether the peer has closed it or has sent unsolicited data, so that it cannot be
+  // reused.
   bool is_stale() const;
-  // Whether bytes have come that nobody has read. Closing now would reset the connection.
+  // Whether received data has not been read. Closing the socket now would reset the connection.
   bool has_unread_data() const;
-  // When the scheduler last heard that something came.
+  // When epoll last reported the socket readable.
   Nanos last_readable_at() const { return state_ ? state_->readiness.last_readable_at : 0; }
-  // When the last bytes came, as far as the kernel tells: before the scheduler heard of them, where the process was held up
-  // or the connection stood in its listener's queue.
+  // When the kernel received the last data (TCP_INFO), never after last_readable_at(). It is earlier if the
+  // process was delayed or the connection waited in the listener's accept queue.
   Nanos last_received_at() const;
 
  private:
@@ -78,52 +86,57 @@
     Loop& loop;
     int fd;
     Readiness readiness;
-    Nanos write_stall{};
-    bool looked{};       // since its last read, it was looked whether more is there without word of it
-    bool looking{};      // the next read is that look
-    bool short_reads{};  // reads of this socket end short though more is there
+    Nanos write_stall_timeout{};
+    bool probed{};       // a probe read was made since the last read that returned data
+    bool probing{};      // the next read is the probe read
+    bool short_reads{};  // a probe read has found data: the receive buffer may hold data after a short read
   };
   Task<> wait_readable();
   Task<bool> wait_writable();
-  // Whether the call that failed is to be made again: waits first as long as that takes.
+  // Whether to retry a failed call. Suspends first for the retry delay, if the error asks for one.
   Task<bool> should_retry(SystemCall call, int error);
-  // Bytes that were written and that the peer has not acknowledged, or 0 where the kernel does not tell.
+  // Bytes written that the peer has not acknowledged (SIOCOUTQ), or 0 if that is not known.
   int unacknowledged_bytes() const;
-  // Looks at the first unread byte and leaves it: recv(2)'s answer.
+  // Result of recv(2) with MSG_PEEK for one byte.
   ssize_t peek() const;
   std::unique_ptr<State> state_;
 };
 
-// bytes is 0; error is ECONNREFUSED, ETIMEDOUT and the like.
-Task<IoResult> connect(Loop& loop, Address address, Socket& to);
+// Connects a new socket and moves it to out. Returns 0 bytes and the error, if any (ECONNREFUSED, ETIMEDOUT,
+// ...). Sets no deadline of its own.
+Task<IoResult> connect(Loop& loop, Address address, Socket& out);
 
 class Listener {
  public:
-  // Port 0 takes a free port; address() tells which. Throws std::system_error when the address is taken.
+  // Port 0 selects a free port; address() returns it. Throws std::system_error if the address cannot be
+  // bound.
   Listener(Loop& loop, Address address, int backlog = 1024);
   ~Listener() { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
   const Address& address() const { return address_; }
-  // The next connection. None once the listener is closed.
+  // Waits for the next connection. Returns a closed socket once the listener is closed.
   Task<Socket> accept();
-  // The next of those that wait in the queue; none once the queue is empty. Lacks of this machine are waited out.
+  // Returns the next connection in the accept queue, or a closed socket once the queue is empty. Retries
+  // after a delay while this machine is short of a resource.
   Task<Socket> accept_queued();
   void close();
   bool is_open() const { return socket_.is_open(); }
-  void set_backlog(int n);
+  void set_backlog(int backlog);
 
-  // One that waits in the queue, or errno.
-  int try_accept(Socket& to);
+  // Takes the next connection of the accept queue without waiting. Returns 0 or errno; EAGAIN if the queue is
+  // empty.
+  int try_accept(Socket& out);
 
  private:
+  // Delay after a failed accept, where one is needed.
   Task<> back_off(int error, int& failures);
 
   Loop& loop_;
   Socket socket_;
   Address address_;
-  int unregistered_{-1};  // taken from the queue, and could not be registered yet
+  int unregistered_{-1};  // accepted descriptor that could not be registered yet, or -1
 };
 
 }  // namespace cressrill::io
