--- a/http/message.cpp
+++ b/http/message.cpp
@@ -22,61 +22,65 @@
 
 void Head::clear() {
   method = target = {};
-  status = 0, keep_alive = false;
-  fields.clear(), text_.clear(), filled_.clear();
+  status = 0;
+  keep_alive = false;
+  fields.clear();
+  text_.clear();
+  earlier_text_.clear();
 }
 
 void Head::reserve(std::size_t bytes) {
   if (text_.capacity() - text_.size() >= bytes) return;
-  const std::size_t room = std::max(bytes, 2 * text_.capacity());
-  if (!text_.empty()) filled_.push_back(std::exchange(text_, {}));
-  text_.reserve(room);
+  const std::size_t capacity = std::max(bytes, 2 * text_.capacity());
+  if (!text_.empty()) earlier_text_.push_back(std::exchange(text_, {}));
+  text_.reserve(capacity);
 }
 
-std::string_view Head::store(std::string_view text, bool lower) {
-  const std::size_t at = text_.size();
+std::string_view Head::store(std::string_view text, bool lower_case) {
+  const std::size_t begin = text_.size();
   text_.insert(text_.end(), text.begin(), text.end());
-  if (lower)
-    for (char& c : std::span(text_).subspan(at))
+  if (lower_case)
+    for (char& c : std::span(text_).subspan(begin))
       if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
-  return {text_.data() + at, text.size()};
+  return {text_.data() + begin, text.size()};
 }
 
-const char* to_string(MessageError fault) {
-  static constexpr const char* words[] = {"none",           "closed",    "malformed", "head too large",
+const char* to_string(MessageError error) {
+  static constexpr const char* names[] = {"none",           "closed",    "malformed", "head too large",
                                           "body too large", "timed out", "no room"};
-  return words[static_cast<int>(fault)];
+  return names[static_cast<int>(error)];
 }
 
 namespace {
 
-// What a message's parser writes into.
-struct Target {
-  Head* head{};
-  std::vector<std::string_view> pieces;  // of the body, in the buffer
+// Where a parser stores what it has read.
+struct ParserOutput {
+  Head* head{};                          // null once the head is complete
+  std::vector<std::string_view> pieces;  // of the body; they point into the input
 };
 
-struct Sink {
-  virtual ~Sink() = default;
+// Common interface of the request and the response parser; its functions are those of basic_parser.
+struct ParserInterface {
+  virtual ~ParserInterface() = default;
   virtual std::size_t put(const char* data, std::size_t size, Error& error) = 0;
   virtual void put_eof(Error& error) = 0;
   virtual bool head_done() const = 0;
   virtual bool done() const = 0;
   virtual bool started() const = 0;
   virtual bool keep_alive() const = 0;
-  virtual std::size_t length() const = 0;  // as told; 0 where none is
+  virtual std::size_t length() const = 0;  // of the body, as content-length says; 0 if it is absent
 };
 
 template <bool request>
-class Parser final : public bh::basic_parser<request>, public Sink {
+class Parser final : public bh::basic_parser<request>, public ParserInterface {
   using Base = bh::basic_parser<request>;
 
  public:
-  Parser(MessageLimits bounds, Target& to) : to_(to) {
-    this->header_limit(static_cast<std::uint32_t>(bounds.head_bytes));
-    // A stream may be of any length: whoever keeps a response's body bounds it.
+  Parser(MessageLimits limits, ParserOutput& output) : output_(output) {
+    this->header_limit(static_cast<std::uint32_t>(limits.head_bytes));
+    // A streamed response may have any length; read_some_body() limits bodies that are kept.
     if constexpr (request)
-      this->body_limit(bounds.body_bytes);
+      this->body_limit(limits.body_bytes);
     else
       this->body_limit(boost::none);
     this->eager(true);
@@ -90,45 +94,47 @@
   bool started() const override { return Base::got_some(); }
   bool keep_alive() const override { return Base::keep_alive(); }
   std::size_t length() const override {
-    const auto told = Base::content_length();
-    return told ? static_cast<std::size_t>(*told) : 0;
+    const auto length = Base::content_length();
+    return length ? static_cast<std::size_t>(*length) : 0;
   }
 
  private:
-  static std::string_view std_view(beast::string_view text) { return {text.data(), text.size()}; }
+  static std::string_view to_std_view(beast::string_view text) { return {text.data(), text.size()}; }
   void on_request_impl(bh::verb, beast::string_view method, beast::string_view target, int, Error&) override {
-    to_.head->method = to_.head->store(std_view(method));
-    to_.head->target = to_.head->store(std_view(target));
+    output_.head->method = output_.head->store(to_std_view(method));
+    output_.head->target = output_.head->store(to_std_view(target));
+  }
+  void on_response_impl(int status, beast::string_view, int, Error&) override {
+    output_.head->status = status;
   }
-  void on_response_impl(int status, beast::string_view, int, Error&) override { to_.head->status = status; }
   void on_field_impl(bh::field, beast::string_view name, beast::string_view value, Error& error) override {
-    if (to_.head == nullptr) return;  // a trailer: nothing here is asked of one
-    Head& head = *to_.head;
-    const std::string_view key = head.store(std_view(name), true);
-    // RFC 9112, 6.3: a message that tells its length twice may be a smuggled one.
+    if (output_.head == nullptr) return;  // a trailer field: ignored
+    Head& head = *output_.head;
+    const std::string_view key = head.store(to_std_view(name), true);
+    // RFC 9112, 6.3: conflicting message lengths may be an attempt at request smuggling.
     if (key == "content-length" && (head.field(key) || head.field("transfer-encoding")))
       error = bh::error::bad_content_length;
     if (key == "transfer-encoding" && (head.field(key) || head.field("content-length")))
       error = bh::error::bad_transfer_encoding;
-    head.fields.emplace_back(key, head.store(std_view(value)));
+    head.fields.emplace_back(key, head.store(to_std_view(value)));
   }
-  void on_header_impl(Error&) override { to_.head = nullptr; }  // fields from here on are a trailer's
+  void on_header_impl(Error&) override { output_.head = nullptr; }  // later fields are trailer fields
   void on_body_init_impl(boost::optional<std::uint64_t> const&, Error&) override {}
   std::size_t on_body_impl(beast::string_view data, Error&) override {
-    to_.pieces.push_back(std_view(data));
+    output_.pieces.push_back(to_std_view(data));
     return data.size();
   }
   void on_chunk_header_impl(std::uint64_t, beast::string_view, Error&) override {}
   std::size_t on_chunk_body_impl(std::uint64_t, beast::string_view data, Error&) override {
-    to_.pieces.push_back(std_view(data));
+    output_.pieces.push_back(to_std_view(data));
     return data.size();
   }
   void on_finish_impl(Error&) override {}
 
-  Target& to_;
+  ParserOutput& output_;
 };
 
-MessageError fault_of(const Error& error) {
+MessageError to_message_error(const Error& error) {
   if (error == bh::error::header_limit) return MessageError::head_too_large;
   if (error == bh::error::body_limit) return MessageError::body_too_large;
   if (error == bh::error::partial_message || error == bh::error::end_of_stream) return MessageError::closed;
@@ -137,157 +143,174 @@
 
 }  // namespace
 
-// Buffers start small, for the many streams that wait, and grow while whole buffers come.
-constexpr std::size_t kSmall = 4 * 1024;
-constexpr std::size_t kLarge = 64 * 1024;
+// Buffers start small, as many streams are idle most of the time, and grow while reads fill them.
+constexpr std::size_t kInitialBufferBytes = 4 * 1024;
+constexpr std::size_t kMaxBufferBytes = 64 * 1024;
 
-struct MessageReader::Parts {
-  Parts(io::Socket& s, MessageKind k, MessageLimits b) : socket(s), kind(k), bounds(b) {}
+struct MessageReader::State {
+  State(io::Socket& source, MessageKind message_kind, MessageLimits message_limits)
+      : socket(source), kind(message_kind), limits(message_limits) {}
 
   io::Socket& socket;
   MessageKind kind;
-  MessageLimits bounds;
-  Target target;
-  std::variant<std::monostate, Parser<true>, Parser<false>> parser;
-  Sink* sink{};
-  bool handed{};  // the pieces were given to the caller
+  MessageLimits limits;
+  ParserOutput output;
+  std::variant<std::monostate, Parser<true>, Parser<false>> parsers;
+  ParserInterface* parser{};
+  bool pieces_returned{};  // output.pieces was returned to the caller
   std::unique_ptr<char[]> buffer;
-  std::size_t room{};
-  std::size_t used{};
-  std::size_t size{};
-  bool filled{};
+  std::size_t capacity{};   // of the buffer, without the padding
+  std::size_t consumed{};   // bytes at its start that were parsed
+  std::size_t size{};       // bytes in it
+  bool last_read_filled{};  // the last read filled the buffer
   io::Nanos received_at{};
-  bool asked_kernel{true};
+  bool kernel_time_read{true};  // received_at is what the kernel reports for the last read
 
-  void fresh(Head* head) {
-    target.head = head, target.pieces.clear(), handed = false;
+  void start_message(Head* head) {
+    output.head = head;
+    output.pieces.clear();
+    pieces_returned = false;
     if (kind == MessageKind::request)
-      sink = &parser.emplace<1>(bounds, target);
+      parser = &parsers.emplace<1>(limits, output);
     else
-      sink = &parser.emplace<2>(bounds, target);
+      parser = &parsers.emplace<2>(limits, output);
   }
-  // Hands what is in hand to the parser.
-  void feed(Error& error) {
-    while (used < size && !sink->done()) {
-      const std::size_t took = sink->put(buffer.get() + used, size - used, error);
-      used += took;
+  // Passes the buffered bytes to the parser.
+  void parse(Error& error) {
+    while (consumed < size && !parser->done()) {
+      const std::size_t parsed = parser->put(buffer.get() + consumed, size - consumed, error);
+      consumed += parsed;
       if (error == bh::error::need_more) {
         error = {};
         break;
       }
-      if (error || took == 0) break;
+      if (error || parsed == 0) break;
     }
   }
-  void have_room(std::size_t wanted) {
-    if (wanted <= room) return;
+  void grow(std::size_t wanted) {
+    if (wanted <= capacity) return;
     std::unique_ptr<char[]> larger(new char[wanted + kReadPaddingBytes]);
-    std::copy(buffer.get() + used, buffer.get() + size, larger.get());
-    buffer = std::move(larger), room = wanted, size -= used, used = 0;
+    std::copy(buffer.get() + consumed, buffer.get() + size, larger.get());
+    buffer = std::move(larger);
+    capacity = wanted;
+    size -= consumed;
+    consumed = 0;
   }
-  io::Task<MessageError> more() {
-    if (used == size) {
-      used = size = 0;
-      // The last read filled it: there is much to come.
-      if (filled && room < kLarge && sink->head_done()) have_room(std::min(kLarge, room * 4));
-    } else if (used > 0) {
-      std::memmove(buffer.get(), buffer.get() + used, size - used);
-      size -= used, used = 0;
+  // Reads more bytes from the socket into the buffer.
+  io::Task<MessageError> receive() {
+    if (consumed == size) {
+      consumed = size = 0;
+      // A read that filled the buffer suggests that much more data follows.
+      if (last_read_filled && capacity < kMaxBufferBytes && parser->head_done())
+        grow(std::min(kMaxBufferBytes, capacity * 4));
+    } else if (consumed > 0) {
+      std::memmove(buffer.get(), buffer.get() + consumed, size - consumed);
+      size -= consumed;
+      consumed = 0;
     }
-    if (size == room) have_room(std::max(kSmall, room * 2));
-    const io::IoResult got = co_await socket.read_some(std::span(buffer.get() + size, room - size));
-    if (!got.ok()) co_return MessageError::closed;
-    if (got.bytes > 0) {
-      size += got.bytes;
+    if (size == capacity) grow(std::max(kInitialBufferBytes, capacity * 2));
+    const io::IoResult result = co_await socket.read_some(std::span(buffer.get() + size, capacity - size));
+    if (!result.ok()) co_return MessageError::closed;
+    if (result.bytes > 0) {
+      size += result.bytes;
       received_at = socket.last_readable_at();
-      asked_kernel = false;
-      filled = size == room;
+      kernel_time_read = false;
+      last_read_filled = size == capacity;
       co_return MessageError::none;
     }
-    if (!sink->started()) co_return MessageError::closed;
+    if (!parser->started()) co_return MessageError::closed;
     Error error;
-    sink->put_eof(error);  // a response may end with its connection
-    co_return error || !sink->done() ? MessageError::closed : MessageError::none;
+    parser->put_eof(error);  // the end of the connection may be the end of a response body
+    co_return error || !parser->done() ? MessageError::closed : MessageError::none;
   }
 };
 
-MessageReader::MessageReader(io::Socket& socket, MessageKind kind, MessageLimits bounds)
-    : parts_(new Parts(socket, kind, bounds)) {
-  parts_->fresh(nullptr);
+MessageReader::MessageReader(io::Socket& socket, MessageKind kind, MessageLimits limits)
+    : state_(new State(socket, kind, limits)) {
+  state_->start_message(nullptr);
 }
 MessageReader::~MessageReader() = default;
 MessageReader::MessageReader(MessageReader&&) noexcept = default;
 
-io::Task<MessageError> MessageReader::read_head(Head& to) {
-  Parts& p = *parts_;
-  p.fresh(&to);
-  if (p.used == p.size && p.room > kSmall) p.buffer.reset(), p.room = p.used = p.size = 0;
-  to.clear();
+io::Task<MessageError> MessageReader::read_head(Head& out) {
+  State& state = *state_;
+  state.start_message(&out);
+  if (state.consumed == state.size && state.capacity > kInitialBufferBytes) {
+    state.buffer.reset();
+    state.capacity = state.consumed = state.size = 0;
+  }
+  out.clear();
   for (;;) {
-    Error error;
-    // A head that comes in pieces: Beast reads its first line, and each field, as soon as they are whole. What was
-    // kept of them has to outlive the next piece. No more text than is in hand is kept of one.
-    to.reserve(p.size - p.used);
-    p.feed(error);
-    if (error) co_return fault_of(error);
-    if (p.sink->head_done()) break;
-    if (p.size - p.used > p.bounds.head_bytes) co_return MessageError::head_too_large;
-    const MessageError fault = co_await p.more();
-    if (fault != MessageError::none) co_return fault;
+    Error parse_error;
+    // Beast parses the start line and each field as soon as they are complete, so text stored from earlier
+    // pieces has to stay in place while the next piece is received. One pass stores at most the bytes that
+    // are in the buffer.
+    out.reserve(state.size - state.consumed);
+    state.parse(parse_error);
+    if (parse_error) co_return to_message_error(parse_error);
+    if (state.parser->head_done()) break;
+    if (state.size - state.consumed > state.limits.head_bytes) co_return MessageError::head_too_large;
+    const MessageError error = co_await state.receive();
+    if (error != MessageError::none) co_return error;
   }
-  to.keep_alive = p.sink->keep_alive();
+  out.keep_alive = state.parser->keep_alive();
   co_return MessageError::none;
 }
 
-io::Task<MessageError> MessageReader::read_body_pieces(std::span<const std::string_view>& to) {
-  Parts& p = *parts_;
-  to = {};
-  if (std::exchange(p.handed, false)) p.target.pieces.clear();
+io::Task<MessageError> MessageReader::read_body_pieces(std::span<const std::string_view>& out) {
+  State& state = *state_;
+  out = {};
+  if (std::exchange(state.pieces_returned, false)) state.output.pieces.clear();
   for (;;) {
-    Error error;
-    p.feed(error);
-    if (!p.target.pieces.empty()) p.handed = true, to = p.target.pieces;
-    if (error) co_return fault_of(error);
-    if (p.handed || p.sink->done()) co_return MessageError::none;
-    const MessageError fault = co_await p.more();
-    if (fault != MessageError::none) co_return fault;
+    Error parse_error;
+    state.parse(parse_error);
+    if (!state.output.pieces.empty()) {
+      state.pieces_returned = true;
+      out = state.output.pieces;
+    }
+    if (parse_error) co_return to_message_error(parse_error);
+    if (state.pieces_returned || state.parser->done()) co_return MessageError::none;
+    const MessageError error = co_await state.receive();
+    if (error != MessageError::none) co_return error;
   }
 }
 
-io::Task<MessageError> MessageReader::read_some_body(std::string& to) {
-  std::span<const std::string_view> got;
-  const MessageError fault = co_await read_body_pieces(got);
-  for (const std::string_view piece : got) {
-    if (to.size() + piece.size() > parts_->bounds.body_bytes) co_return MessageError::body_too_large;
-    // Room for all that was told of, once enough came that it is not only told.
-    if (to.size() + piece.size() > to.capacity())
-      to.reserve(
-          std::max(to.capacity() * 2, std::min(parts_->sink->length(), to.empty() ? kLarge : SIZE_MAX)) +
-          piece.size() + kReadPaddingBytes);
-    to.append(piece);
+io::Task<MessageError> MessageReader::read_some_body(std::string& out) {
+  std::span<const std::string_view> pieces;
+  const MessageError error = co_await read_body_pieces(pieces);
+  for (const std::string_view piece : pieces) {
+    if (out.size() + piece.size() > state_->limits.body_bytes) co_return MessageError::body_too_large;
+    // Reserves the announced length, but at most kMaxBufferBytes before any data has been received: a peer
+    // may announce more than it sends.
+    if (out.size() + piece.size() > out.capacity())
+      out.reserve(std::max(out.capacity() * 2,
+                           std::min(state_->parser->length(), out.empty() ? kMaxBufferBytes : SIZE_MAX)) +
+                  piece.size() + kReadPaddingBytes);
+    out.append(piece);
   }
-  co_return fault;
+  co_return error;
 }
 
-io::Task<MessageError> MessageReader::read_body(std::string& to) {
+io::Task<MessageError> MessageReader::read_body(std::string& out) {
   while (has_more()) {
-    const MessageError fault = co_await read_some_body(to);
-    if (fault != MessageError::none) co_return fault;
+    const MessageError error = co_await read_some_body(out);
+    if (error != MessageError::none) co_return error;
   }
-  to.reserve(to.size() + kReadPaddingBytes);
+  out.reserve(out.size() + kReadPaddingBytes);
   co_return MessageError::none;
 }
 
 bool MessageReader::has_more() const {
-  return !parts_->sink->done() || (!parts_->handed && !parts_->target.pieces.empty());
+  return !state_->parser->done() || (!state_->pieces_returned && !state_->output.pieces.empty());
 }
-bool MessageReader::has_leftover() const { return parts_->used < parts_->size; }
+bool MessageReader::has_leftover() const { return state_->consumed < state_->size; }
 io::Nanos MessageReader::received_at() const {
-  Parts& p = *parts_;
-  if (!std::exchange(p.asked_kernel, true))
-    p.received_at = std::min(p.received_at, p.socket.last_received_at());
-  return p.received_at;
+  State& state = *state_;
+  if (!std::exchange(state.kernel_time_read, true))
+    state.received_at = std::min(state.received_at, state.socket.last_received_at());
+  return state.received_at;
 }
-bool MessageReader::started() const { return parts_->sink->started() || has_leftover(); }
+bool MessageReader::started() const { return state_->parser->started() || has_leftover(); }
 
 std::string format_request_head(std::string_view method, std::string_view target, std::string_view host,
                                 std::string_view fields, std::size_t body_bytes) {
@@ -306,7 +329,7 @@
 }
 
 namespace {
-std::string first_line(int status, bool keep_alive) {
+std::string status_line(int status, bool keep_alive) {
   const auto reason = bh::obsolete_reason(static_cast<bh::status>(status));
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
   out.append(reason.data(), reason.size()).append("\r\n");
@@ -316,66 +339,67 @@
 }  // namespace
 
 std::string format_response(int status, std::string_view fields, std::string_view body, bool keep_alive) {
-  std::string out = first_line(status, keep_alive);
+  std::string out = status_line(status, keep_alive);
   out.append(fields).append("content-length: ").append(std::to_string(body.size())).append("\r\n\r\n");
   return out.append(body);
 }
 
 std::string format_stream_head(int status, std::string_view fields, bool keep_alive) {
-  return first_line(status, keep_alive).append(fields).append("transfer-encoding: chunked\r\n\r\n");
+  return status_line(status, keep_alive).append(fields).append("transfer-encoding: chunked\r\n\r\n");
 }
 
 ChunkSizeLine::ChunkSizeLine(std::size_t bytes) {
   static constexpr char digits[] = "0123456789abcdef";
-  text_[--at_] = '\n', text_[--at_] = '\r';
-  for (std::size_t n = bytes; n > 0; n >>= 4) text_[--at_] = digits[n & 15];
+  text_[--begin_] = '\n';
+  text_[--begin_] = '\r';
+  for (std::size_t n = bytes; n > 0; n >>= 4) text_[--begin_] = digits[n & 15];
 }
 
 void SseParser::feed(std::string_view bytes) {
-  if (open_.empty()) {
-    open_ = bytes;
+  if (pending_.empty()) {
+    pending_ = bytes;
     return;
   }
-  if (!held()) open_ = held_.assign(open_);
-  held_.erase(0, static_cast<std::size_t>(open_.data() - held_.data()));
-  held_.reserve(held_.size() + bytes.size() + kReadPaddingBytes);
-  open_ = held_.append(bytes);
+  if (!is_buffered()) pending_ = buffer_.assign(pending_);
+  buffer_.erase(0, static_cast<std::size_t>(pending_.data() - buffer_.data()));
+  buffer_.reserve(buffer_.size() + bytes.size() + kReadPaddingBytes);
+  pending_ = buffer_.append(bytes);
 }
 
 std::optional<std::string_view> SseParser::next() {
   std::string_view data;
-  int lines = 0;
+  int data_lines = 0;
   for (std::size_t from = 0;;) {
-    const std::size_t end = open_.find('\n', from);
+    const std::size_t end = pending_.find('\n', from);
     if (end == std::string_view::npos) {
-      if (!open_.empty() && !held()) {
-        held_.reserve(open_.size() + kReadPaddingBytes);
-        open_ = held_.assign(open_);
+      if (!pending_.empty() && !is_buffered()) {
+        buffer_.reserve(pending_.size() + kReadPaddingBytes);
+        pending_ = buffer_.assign(pending_);
       }
       return std::nullopt;
     }
-    std::string_view line = open_.substr(from, end - from);
+    std::string_view line = pending_.substr(from, end - from);
     if (line.ends_with('\r')) line.remove_suffix(1);
     from = end + 1;
     if (line.empty()) {
-      raw_ = open_.substr(0, from);
-      open_.remove_prefix(from);
+      raw_event_ = pending_.substr(0, from);
+      pending_.remove_prefix(from);
       from = 0;
-      if (lines > 0) return data;
+      if (data_lines > 0) return data;
       continue;
     }
-    if (line.starts_with(':')) comment_.assign(line.substr(1));
+    if (line.starts_with(':')) last_comment_.assign(line.substr(1));
     if (!line.starts_with("data:")) continue;
     line.remove_prefix(5);
     if (line.starts_with(' ')) line.remove_prefix(1);
-    if (++lines == 1) {
+    if (++data_lines == 1) {
       data = line;
       continue;
     }
-    if (lines == 2) joined_.assign(data);
-    joined_.reserve(joined_.size() + 1 + line.size() + kReadPaddingBytes);
-    joined_.append("\n").append(line);
-    data = joined_;
+    if (data_lines == 2) joined_data_.assign(data);
+    joined_data_.reserve(joined_data_.size() + 1 + line.size() + kReadPaddingBytes);
+    joined_data_.append("\n").append(line);
+    data = joined_data_;
   }
 }
 
--- a/http/message.h
+++ b/http/message.h
@@ -1,5 +1,6 @@
-// HTTP/1.1 messages (RFC 9112) over sockets, both ways. The text is read by Boost.Beast's basic_parser; what is
-// kept of a message is small: its first line, its fields, and the part of the body that has come.
+// Reads and formats HTTP/1.1 messages (RFC 9112). Parsing is done by Boost.Beast's basic_parser. A reader
+// keeps little of a message: its start line, its header fields, and the piece of the body that has been
+// received and not yet consumed.
 #pragma once
 
 #include <memory>
@@ -13,125 +14,139 @@
 
 namespace cressrill::http {
 
+// Limits on messages that are read. body_bytes applies to requests, and to response bodies that are read into
+// one string.
 struct MessageLimits {
   std::size_t head_bytes = 64 * 1024;
   std::size_t body_bytes = 8 * 1024 * 1024;
 };
 
-// The bytes of one buffer, of which kSlack past what is in use may be read (simdjson's padding).
+// Bytes past the end of received data that are always readable, as simdjson needs (SIMDJSON_PADDING).
 constexpr std::size_t kReadPaddingBytes = 64;
 
-// The first line and the fields, views into a text of its own.
+// Start line and header fields of a message; the views point into storage that the head owns.
 struct Head {
-  std::string_view method;  // of a request
+  std::string_view method;  // request only
   std::string_view target;
-  int status{};                                                       // of a response
-  std::vector<std::pair<std::string_view, std::string_view>> fields;  // names in lower case
+  int status{};                                                       // response only
+  std::vector<std::pair<std::string_view, std::string_view>> fields;  // names are in lower case
   bool keep_alive{};
 
   Head() = default;
   Head(Head&&) noexcept = default;
   Head& operator=(Head&&) noexcept = default;
 
-  // The first field of that name (lower case), or nothing.
+  // Value of the first field with that name (in lower case), if any.
   std::optional<std::string_view> field(std::string_view name) const;
-  // Empty again, with its room kept.
+  // Makes the head empty and keeps its capacity.
   void clear();
-  // Room for so many more bytes of text; what was kept stays where it is.
+  // Makes room for that many more bytes of text; stored text stays in place.
   void reserve(std::size_t bytes);
-  std::string_view store(std::string_view text, bool lower = false);
+  // Copies text into the head's storage, which must have room for it (reserve()).
+  std::string_view store(std::string_view text, bool lower_case = false);
 
  private:
-  std::vector<char> text_;                 // not a string: a vector's bytes stay in place when it moves
-  std::vector<std::vector<char>> filled_;  // of a head that came in pieces: its earlier text
+  std::vector<char> text_;  // not a string: the bytes of a vector stay in place when it is moved
+  std::vector<std::vector<char>> earlier_text_;  // full buffers, if the head was received in several pieces
 };
 
-// How a message came to its end.
+// Why a message could not be read completely.
 enum class MessageError {
   none,
-  closed,          // the peer ended or broke the connection before the message was whole
-  malformed,       // not HTTP, or a framing that could be read in two ways (RFC 9112, section 6.3)
-  head_too_large,  // past Bounds::head_bytes
-  body_too_large,  // past Bounds::body_bytes
-  timed_out,       // a request of which a part came, and not the rest in time
-  no_capacity,     // a request of which a part came, given up as there is no room for its connection
+  closed,          // the peer closed or broke the connection before the end of the message
+  malformed,       // not HTTP, or ambiguous framing (RFC 9112, section 6.3)
+  head_too_large,  // exceeds MessageLimits::head_bytes
+  body_too_large,  // exceeds MessageLimits::body_bytes
+  timed_out,       // the rest of a partly received request did not arrive in time
+  no_capacity,     // a partly received request was abandoned because the server is at its connection limit
 };
-const char* to_string(MessageError fault);
+const char* to_string(MessageError error);
 
 enum class MessageKind { request, response };
 
-// Reads messages one after another from one socket, into one buffer. Bytes past a message's end stay for the next.
+// Reads consecutive messages from a socket, which must outlive the reader. Bytes received past the end of a
+// message stay in the buffer for the next one.
 class MessageReader {
  public:
-  MessageReader(io::Socket& socket, MessageKind kind, MessageLimits bounds = {});
+  MessageReader(io::Socket& socket, MessageKind kind, MessageLimits limits = {});
   ~MessageReader();
   MessageReader(MessageReader&&) noexcept;
 
-  // The head of the next message; closed where the peer ends before it is whole.
-  io::Task<MessageError> read_head(Head& to);
-  // What has come of the body, once some has: pieces in the buffer, good until the next call, each with kSlack
-  // readable bytes after it. How long the whole may get is the caller's matter.
-  io::Task<MessageError> read_body_pieces(std::span<const std::string_view>& to);
-  // Appends what has come of the body; body_large once it is past its bound. more() tells whether any is left.
-  io::Task<MessageError> read_some_body(std::string& to);
-  // The whole rest of the body, with room for kSlack more.
-  io::Task<MessageError> read_body(std::string& to);
+  // Reads the head of the next message.
+  io::Task<MessageError> read_head(Head& out);
+  // Waits for body data and returns it as pieces of the buffer, which are valid until the next call; each is
+  // followed by kReadPaddingBytes readable bytes. The total size is not limited here.
+  io::Task<MessageError> read_body_pieces(std::span<const std::string_view>& out);
+  // Waits for body data and appends it; body_too_large once the body exceeds its limit.
+  io::Task<MessageError> read_some_body(std::string& out);
+  // Reads the rest of the body, and leaves capacity for kReadPaddingBytes more.
+  io::Task<MessageError> read_body(std::string& out);
+  // Whether the current message has a body, or a rest of it, that was not returned yet.
   bool has_more() const;
-  // Bytes that came past the end of the message: none are owed.
+  // Whether bytes past the end of the current message have been received.
   bool has_leftover() const;
-  // Whether any byte of the message that is being read has come.
+  // Whether any byte of the message that is being read has been received.
   bool started() const;
-  // When the last of the bytes that were read had come, which may be long before they were read.
+  // When the kernel received the last bytes that were read, which may be long before they were read.
   io::Nanos received_at() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct State;
+  std::unique_ptr<State> state_;
 };
 
-// Texts to be written. fields: "name: value\r\n" lines.
+// Format messages to be written. fields: header lines, each "name: value\r\n".
 std::string format_request(std::string_view method, std::string_view target, std::string_view host,
                            std::string_view fields, std::string_view body);
 std::string format_request_head(std::string_view method, std::string_view target, std::string_view host,
                                 std::string_view fields, std::size_t body_bytes);
 std::string format_response(int status, std::string_view fields, std::string_view body, bool keep_alive);
-// The head of a chunked response; the line before a chunk of so many bytes; its end.
+// Head of a response with the chunked transfer coding.
 std::string format_stream_head(int status, std::string_view fields, bool keep_alive);
+
+// The line before the data of a chunk: its size in hexadecimal.
 class ChunkSizeLine {
  public:
   explicit ChunkSizeLine(std::size_t bytes);
-  std::string_view text() const { return {text_ + at_, sizeof text_ - at_}; }
+  std::string_view text() const { return {text_ + begin_, sizeof text_ - begin_}; }
 
  private:
-  char text_[18];
-  std::size_t at_{sizeof text_};
+  char text_[18];  // 16 digits and CRLF, filled from the end
+  std::size_t begin_{sizeof text_};
 };
 constexpr std::string_view kChunkEnd = "\r\n";
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// Server-sent events (WHATWG HTML, 9.2): cuts a body into events, by their data lines.
+// Incremental parser for server-sent events (WHATWG HTML, section 9.2). Events without a data line are
+// skipped.
 class SseParser {
  public:
-  // Bytes that stay in place until next() has given nothing, with kSlack readable ones after them.
+  // Adds input. The bytes have to stay valid until next() returns nothing, with kReadPaddingBytes readable
+  // bytes after them.
   void feed(std::string_view bytes);
-  // The data of the next whole event, until none is left. Good until the next call; kSlack readable bytes after it.
+  // Data of the next complete event, or nothing. Valid until the next call, with kReadPaddingBytes readable
+  // bytes after it.
   std::optional<std::string_view> next();
-  // The event that next() gave, as it came, its empty line with it. Good for as long as that.
-  std::string_view raw_event() const { return raw_; }
-  // The last comment line that came, without its colon; empty where none came.
-  std::string_view last_comment() const { return comment_; }
-  // Bytes of an event that has no end yet.
-  std::size_t pending_bytes() const { return open_.size(); }
+  // The last event that next() returned as it was received, with its final empty line. Valid as long as its
+  // data.
+  std::string_view raw_event() const { return raw_event_; }
+  // The last comment line without its colon; empty if there was none.
+  std::string_view last_comment() const { return last_comment_; }
+  // Size of the incomplete event at the end of the input.
+  std::size_t pending_bytes() const { return pending_.size(); }
 
  private:
-  bool held() const {
-    return !open_.empty() && open_.data() >= held_.data() && open_.data() < held_.data() + held_.size();
+  // Whether pending_ points into buffer_.
+  bool is_buffered() const {
+    return !pending_.empty() && pending_.data() >= buffer_.data() &&
+           pending_.data() < buffer_.data() + buffer_.size();
   }
-  std::string_view open_;  // not cut yet: of what was fed or, where an event came in parts, of held_
-  std::string held_;
-  std::string_view raw_;
-  std::string comment_;
-  std::string joined_;  // an event of several data lines
+  std::string_view
+      pending_;  // input not parsed yet: part of the last feed() or, for a split event, of buffer_
+  std::string buffer_;
+  std::string_view raw_event_;
+  std::string last_comment_;
+  std::string joined_data_;  // data of an event with several data lines
 };
 
 }  // namespace cressrill::http
