--- a/http/client.h
+++ b/http/client.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 towards one peer: connections that are kept and used again, one request at a time on each.
+// HTTP/1.1 client connections: a pool of persistent connections for each peer, one request at a time on each
+// connection.
 #pragma once
 
 #include <deque>
@@ -10,145 +11,156 @@
 
 namespace cressrill::http {
 
-// For whom a connection is taken. Ordinary work leaves some room to releases, so that these never wait for it.
+// Purpose of a connection. Some connections are reserved for releases, so that these never wait for ordinary
+// work.
 enum class Priority { ordinary, release };
 
 struct Connection {
   io::Socket socket;
   std::unique_ptr<MessageReader> reader;
-  Priority priority{Priority::ordinary};  // of its present use
-  bool preempted{};                       // was closed to make way for another release, and counts no more
-  bool reused{};
-  io::Nanos idle_time{};  // how long it was kept unused before this use
+  Priority priority{Priority::ordinary};  // of the current use
+  bool preempted{};                       // closed in favour of another release, and no longer counted
+  bool reused{};                          // it was idle in the pool before the current use
+  io::Nanos idle_time{};                  // for how long, if reused
 };
 
 class Pool;
 
-// Whether a connection that was kept will do. One may have fallen silent while its peer runs on.
+// Whether an idle connection may be reused. One can be dead without notice while its peer is well.
 enum class Reuse { allowed, never };
 
-// Connections against a bound, of which ordinary work leaves some to releases. Kept ones count as open and not as in use.
+// Counts connections against a limit, part of which is reserved for releases. Idle connections count as open,
+// but not as in use.
 class ConnectionCount {
  public:
-  ConnectionCount(std::size_t most, std::size_t for_releases) : most_(most), for_releases_(for_releases) {}
-  std::size_t open_count() const { return open_; }
-  bool full() const { return open_ >= most_; }
-  // Whether one more may be in use, be it kept or new.
+  ConnectionCount(std::size_t max_open, std::size_t reserved_for_releases)
+      : max_open_(max_open), reserved_for_releases_(reserved_for_releases) {}
+  std::size_t open_count() const { return open_count_; }
+  bool full() const { return open_count_ >= max_open_; }
+  // Whether one more connection may be in use, idle or new.
   bool admits(Priority priority) const;
-  void opened() { ++open_; }
-  void closed() { --open_; }
+  void opened() { ++open_count_; }
+  void closed() { --open_count_; }
   void use_started(Priority priority) { ordinary_in_use_ += priority == Priority::ordinary; }
   void use_ended(Priority priority) { ordinary_in_use_ -= priority == Priority::ordinary; }
-  void subtract(const ConnectionCount& gone);
+  void subtract(const ConnectionCount& other);
 
  private:
-  std::size_t most_;
-  std::size_t for_releases_;
-  std::size_t open_{};
+  std::size_t max_open_;
+  std::size_t reserved_for_releases_;
+  std::size_t open_count_{};
   std::size_t ordinary_in_use_{};
 };
 
-// What many pools share: a bound on their connections together, where kept ones make way for new ones, the oldest
-// first; and what is known of kept ones.
+// Shared by several pools: a limit on their connections together, and the reuse statistics of idle
+// connections. At the limit, the oldest idle connection of any pool is closed for a new one.
 class ConnectionBudget {
  public:
-  // for_releases: so many of the most are never in use by ordinary work.
-  explicit ConnectionBudget(std::size_t most, std::size_t for_releases = 0) : count_(most, for_releases) {}
+  // reserved_for_releases: part of max_open that ordinary work never uses.
+  explicit ConnectionBudget(std::size_t max_open, std::size_t reserved_for_releases = 0)
+      : count_(max_open, reserved_for_releases) {}
   std::size_t open_count() const { return count_.open_count(); }
 
  private:
   friend class Pool;
-  struct Release {  // that is out on a connection
+  struct Release {  // a release whose connection is in use
     Pool* pool{};
     Connection* connection{};
     io::Nanos since{};
   };
-  // Whether another may be opened.
+  // Whether another connection may be opened; closes or preempts one first if that is needed and allowed.
   bool make_room(Priority priority, io::Nanos now);
-  bool end_oldest_kept();
-  bool end_oldest_release(io::Nanos now);
+  bool close_oldest_idle_connection();
+  bool preempt_oldest_release(io::Nanos now);
   IdleReuseTracker idle_reuse_;
   ConnectionCount count_;
-  std::vector<Release> releases_;  // the earliest first
+  std::vector<Release> releases_;  // the oldest first
   std::vector<Pool*> pools_;
 };
 
 struct PoolLimits {
   io::Nanos dial_timeout = 250 * io::kMs;
-  io::Nanos idle_timeout = 15 * io::kSecond;  // a kept connection is closed after so long
+  io::Nanos idle_timeout = 15 * io::kSecond;  // an idle connection is closed after this time
   std::size_t max_idle = 64;
-  std::size_t max_open = 1024;                 // past this a request waits for one that is given back
-  std::shared_ptr<ConnectionBudget> budget{};  // shared with other pools; none: no such bound
-  io::Nanos
-      min_idle_before_reuse{};  // a kept connection is not used again before: a peer's second answer would pass for the next one's
-  std::size_t reserved_for_releases{};  // so many of those open are never in use by ordinary work
+  std::size_t max_open = 1024;  // at this limit, a request waits for a connection to be returned
+  std::shared_ptr<ConnectionBudget> budget{};  // shared with other pools; null: no shared limit
+  // A second response that a faulty peer sends to one request has to arrive within this time, or it would be
+  // taken for the response to the next request on the connection.
+  io::Nanos min_idle_before_reuse{};
+  std::size_t reserved_for_releases{};  // part of max_open that ordinary work never uses
 };
 
+// Connections to one peer. A connection that was acquired has to be passed to return_connection() or
+// discard(); use a ConnectionLease for that.
 class Pool {
  public:
-  Pool(io::Loop& loop, io::Address peer, PoolLimits bounds = {})
+  Pool(io::Loop& loop, io::Address peer, PoolLimits limits = {})
       : loop_(loop),
         peer_(peer),
-        bounds_(std::move(bounds)),
-        count_(bounds_.max_open, bounds_.reserved_for_releases),
-        returned_(loop),
-        sweeper_(loop) {
-    if (bounds_.budget) bounds_.budget->pools_.push_back(this);
+        limits_(std::move(limits)),
+        count_(limits_.max_open, limits_.reserved_for_releases),
+        available_(loop),
+        expiry_scope_(loop) {
+    if (limits_.budget) limits_.budget->pools_.push_back(this);
   }
   ~Pool();
 
-  // A connection that is open as far as can be told, or none: it could not be made in time or, where crowded is set,
-  // there was no room for it on this side.
-  io::Task<std::unique_ptr<Connection>> acquire(bool& crowded, Reuse reuse = Reuse::allowed,
+  // Returns an idle connection that appears open, or a new one, within dial_timeout; else null. at_capacity
+  // is set to true if a local limit or a shortage of this machine is the reason, not the peer.
+  io::Task<std::unique_ptr<Connection>> acquire(bool& at_capacity, Reuse reuse = Reuse::allowed,
                                                 Priority priority = Priority::ordinary);
-  // A connection whose last response was read to its end. Others are dropped instead.
+  // Takes back a connection whose last response was read to its end; any other one has to be discarded.
   void return_connection(std::unique_ptr<Connection> connection);
-  // Closes a connection that was taken.
+  // Closes a connection that was acquired.
   void discard(std::unique_ptr<Connection> connection);
+  // Records for reuse decisions whether a reused connection brought a response. No effect for a new
+  // connection.
   void record_use(const Connection& connection, bool answered);
-  // Closes what is kept and not in use.
+  // Closes all idle connections.
   void close_idle();
   io::Address peer() const { return peer_; }
   std::size_t open_count() const { return count_.open_count(); }
-  std::size_t idle_count() const { return kept_.size(); }
-  // Whether one that is kept can be used now.
+  std::size_t idle_count() const { return idle_.size(); }
+  // Whether an idle connection can be reused now.
   bool has_reusable() const;
-  std::size_t dial_count() const { return dialled_; }
+  std::size_t dial_count() const { return dial_count_; }
 
  private:
-  // Whether a connection that stood idle for so long is still open at its peer, by what others have shown.
-  bool worth_using(io::Nanos stood) const;
+  // Whether the reuse statistics say that a connection which has been idle that long is still usable.
+  bool worth_using(io::Nanos idle_time) const;
   friend class ConnectionBudget;
-  struct Kept {
+  struct IdleEntry {
     std::unique_ptr<Connection> connection;
-    io::Nanos since;
+    io::Nanos since;  // when it became idle
   };
-  std::unique_ptr<Connection> take_kept(Priority priority, io::Nanos& rested);
+  std::unique_ptr<Connection> take_idle(Priority priority, io::Nanos& next_reuse_at);
   bool has_room(Priority priority);
   bool budget_admits(Priority priority) const;
-  io::Task<std::unique_ptr<Connection>> dial(io::Nanos until, bool& crowded, Priority priority);
+  io::Task<std::unique_ptr<Connection>> dial(io::Nanos deadline, bool& at_capacity, Priority priority);
+  // Keep count_ and the budget's count in step.
   void opened();
   void closed();
-  void use_begun(Priority priority);
+  void use_started(Priority priority);
   void use_ended(Priority priority);
-  void dropped(Priority priority);
-  void release_begun(Connection& connection);
+  void use_ended_and_closed(Priority priority);
+  void release_started(Connection& connection);
   void release_ended(const Connection& connection);
-  void yield(Connection& connection);
-  void drop_oldest_kept();
-  io::Task<> sweep();
+  void preempt(Connection& connection);
+  void close_oldest_idle();
+  io::Task<> close_expired();
   io::Loop& loop_;
   io::Address peer_;
-  PoolLimits bounds_;
-  std::deque<Kept> kept_;
+  PoolLimits limits_;
+  std::deque<IdleEntry> idle_;  // the oldest first
   ConnectionCount count_;
-  std::size_t dialled_{};
-  bool sweeping_{};
-  io::Signal returned_;
-  io::Scope sweeper_;
+  std::size_t dial_count_{};
+  bool closing_expired_{};
+  io::Signal available_;  // a connection was returned or closed
+  io::Scope expiry_scope_;
 };
 
-// Takes a connection for one exchange and settles with the pool whatever becomes of it.
+// Acquires a connection for one exchange, and discards it on destruction unless it was returned to the pool.
+// Keeps the pool alive meanwhile.
 class ConnectionLease {
  public:
   explicit ConnectionLease(std::shared_ptr<Pool> pool, Reuse reuse = Reuse::allowed,
@@ -157,15 +169,16 @@
   ~ConnectionLease() { discard(); }
   ConnectionLease(const ConnectionLease&) = delete;
   ConnectionLease& operator=(const ConnectionLease&) = delete;
+  // Returns whether a connection was acquired.
   io::Task<bool> acquire() {
-    connection_ = co_await pool_->acquire(crowded_, reuse_, priority_);
+    connection_ = co_await pool_->acquire(at_capacity_, reuse_, priority_);
     co_return connection_ != nullptr;
   }
-  // Its use brought an answer, or broke before any byte of one.
+  // Outcome of the use: a response arrived, or the connection broke before its first byte.
   void record_response() { pool_->record_use(*connection_, true); }
   void record_loss() { pool_->record_use(*connection_, false); }
-  // Why none was taken: no room on this side, and no fault of the peer.
-  bool at_capacity() const { return crowded_; }
+  // If none was acquired: whether the reason is a local limit and not the peer.
+  bool at_capacity() const { return at_capacity_; }
   Connection& operator*() { return *connection_; }
   Connection* operator->() { return connection_.get(); }
   void return_to_pool() {
@@ -180,21 +193,22 @@
   std::unique_ptr<Connection> connection_;
   Reuse reuse_;
   Priority priority_;
-  bool crowded_{};
+  bool at_capacity_{};
 };
 
-// One whole exchange. What became of it: sent tells whether any byte left, so that it may have been acted on.
+// Result of one request and its complete response.
 struct ExchangeResult {
   MessageError error{MessageError::none};
   bool connected{};
-  bool at_capacity{};  // not connected as there was no room on this side
-  bool sent{};
+  bool at_capacity{};  // not connected because of a local limit
+  bool sent{};         // any byte was written: the peer may have acted on the request
   Head head;
   std::string body;
   bool ok() const { return connected && error == MessageError::none; }
 };
-// still_wanted, where given, is asked once the connection is made: where it denies, nothing is sent.
-io::Task<ExchangeResult> exchange(std::shared_ptr<Pool> pool, std::string text,
+// Sends a formatted request and reads the response. still_wanted, if given, is called once a connection has
+// been acquired: if it returns false, nothing is sent.
+io::Task<ExchangeResult> exchange(std::shared_ptr<Pool> pool, std::string request,
                                   std::function<bool()> still_wanted = {}, Reuse reuse = Reuse::allowed,
                                   Priority priority = Priority::ordinary);
 
--- a/http/idle_reuse.h
+++ b/http/idle_reuse.h
@@ -1,6 +1,7 @@
-// Which kept connections are worth using again. Some peers close what stands idle without a word, and a request that is
-// written to such a connection is lost, while a new connection costs a little time. Learned from uses, by how long the
-// connection had stood: free of sockets and clocks.
+// Decides whether an idle connection is worth reusing. Some peers drop idle connections silently: a request
+// written to such a connection is lost, while a new connection only costs a little time. The decision is
+// learned from the outcomes of earlier uses, by how long the connection had been idle. Uses neither sockets
+// nor clocks.
 #pragma once
 
 #include <algorithm>
@@ -13,43 +14,46 @@
 
 class IdleReuseTracker {
  public:
-  // A connection that had stood so many nanoseconds answered, or broke without a byte of an answer.
-  void record_response(std::int64_t stood, std::int64_t now) { counts_at(stood, now).answered += 1; }
-  void record_loss(std::int64_t stood, std::int64_t now) { counts_at(stood, now).lost += 1; }
-  // Whether one that has stood so long should be used. Where nothing is known, it is.
-  bool worth_using(std::int64_t stood, std::int64_t now) const {
-    UseCounts u = uses_[bucket(stood)];
-    decay(u, now);
-    return u.lost * kConnectionsPerLostRequest <= u.answered + kConnectionsPerLostRequest;
+  // Outcome of a use of a connection that had been idle for idle_time ns: a response, or a break before its
+  // first byte.
+  void record_response(std::int64_t idle_time, std::int64_t now) { counts_at(idle_time, now).answered += 1; }
+  void record_loss(std::int64_t idle_time, std::int64_t now) { counts_at(idle_time, now).lost += 1; }
+  // Whether a connection that has been idle for idle_time ns should be reused; true if nothing is known.
+  bool worth_using(std::int64_t idle_time, std::int64_t now) const {
+    UseCounts counts = counts_[bucket(idle_time)];
+    decay(counts, now);
+    return counts.lost * kConnectionsPerLostRequest <= counts.answered + kConnectionsPerLostRequest;
   }
 
  private:
-  static constexpr double kConnectionsPerLostRequest =
-      16;  // a lost request costs as much as so many new connections
+  static constexpr double kConnectionsPerLostRequest = 16;  // cost of a lost request, in new connections
   static constexpr std::int64_t kHalfLifeNs =
-      10'000'000'000;  // what was seen counts half after this: peers change
+      10'000'000'000;  // of a recorded use, as the behaviour of peers changes
   struct UseCounts {
     double answered{};
     double lost{};
-    std::int64_t at{};
+    std::int64_t at{};  // time up to which the counts have decayed
   };
-  // Of two to the n milliseconds, about.
-  static std::size_t bucket(std::int64_t stood) {
-    const auto ms = static_cast<std::uint64_t>(std::max<std::int64_t>(0, stood) >> 20);
+  // Buckets double in width: bucket n holds idle times of about 2^(n-1) to 2^n ms.
+  static std::size_t bucket(std::int64_t idle_time) {
+    const auto ms = static_cast<std::uint64_t>(std::max<std::int64_t>(0, idle_time) >> 20);
     return std::min<std::size_t>(static_cast<std::size_t>(std::bit_width(ms)), kBuckets - 1);
   }
-  static void decay(UseCounts& u, std::int64_t now) {
-    for (; now - u.at >= kHalfLifeNs && (u.answered > 0.01 || u.lost > 0.01); u.at += kHalfLifeNs)
-      u.answered /= 2, u.lost /= 2;
+  static void decay(UseCounts& counts, std::int64_t now) {
+    for (; now - counts.at >= kHalfLifeNs && (counts.answered > 0.01 || counts.lost > 0.01);
+         counts.at += kHalfLifeNs) {
+      counts.answered /= 2;
+      counts.lost /= 2;
+    }
   }
-  UseCounts& counts_at(std::int64_t stood, std::int64_t now) {
-    UseCounts& u = uses_[bucket(stood)];
-    decay(u, now);
-    if (u.answered < 0.01 && u.lost < 0.01) u.at = now;
-    return u;
+  UseCounts& counts_at(std::int64_t idle_time, std::int64_t now) {
+    UseCounts& counts = counts_[bucket(idle_time)];
+    decay(counts, now);
+    if (counts.answered < 0.01 && counts.lost < 0.01) counts.at = now;
+    return counts;
   }
   static constexpr std::size_t kBuckets = 20;
-  std::array<UseCounts, kBuckets> uses_{};
+  std::array<UseCounts, kBuckets> counts_{};
 };
 
 }  // namespace cressrill::http
