--- a/http/server.cpp
+++ b/http/server.cpp
@@ -9,12 +9,13 @@
 namespace cressrill::http {
 
 namespace {
-constexpr io::Nanos kLook = 100 * io::kMs;  // clients that are too slow are looked for this often
-constexpr io::Nanos kLinger = io::kSecond;  // for what still comes after an answer that ends its connection
+constexpr io::Nanos kTimeoutCheckInterval = 100 * io::kMs;
+constexpr io::Nanos kLingerTime =
+    io::kSecond;  // for a client to close after the response that ends its connection
 
-// Of the error that a request is answered with which cannot be read.
-int status_of(MessageError fault) {
-  switch (fault) {
+// Status of the response to a request that could not be read.
+int status_for(MessageError error) {
+  switch (error) {
     case MessageError::body_too_large:
       return 413;
     case MessageError::head_too_large:
@@ -30,303 +31,314 @@
 }  // namespace
 
 const char* to_string(ConnectionEnd end) {
-  static constexpr const char* words[] = {"by_client", "after_answer", "refused",
+  static constexpr const char* names[] = {"by_client", "after_answer", "refused",
                                           "idle",      "evicted",      "unanswered"};
-  return words[static_cast<int>(end)];
+  return names[static_cast<int>(end)];
 }
 
-bool ResponseWriter::wrote(const io::IoResult& moved) {
-  if (moved.ok()) return true;
-  broken_ = true;
-  stalled_ = moved.error == ETIMEDOUT;
+bool ResponseWriter::check_write(const io::IoResult& result) {
+  if (result.ok()) return true;
+  write_failed_ = true;
+  write_stalled_ = result.error == ETIMEDOUT;
   keep_alive_ = false;
   return false;
 }
 io::Task<bool> ResponseWriter::respond(int status, std::string_view fields, std::string_view body) {
-  begun_ = true;
+  started_ = true;
   const std::string text = format_response(status, fields, body, keep_alive_);
-  co_return wrote(co_await socket_.write_all(text));
+  co_return check_write(co_await socket_.write_all(text));
 }
 void ResponseWriter::begin_stream_deferred(int status, std::string_view fields) {
-  begun_ = true;
-  head_ = format_stream_head(status, fields, keep_alive_);
+  started_ = true;
+  deferred_head_ = format_stream_head(status, fields, keep_alive_);
 }
 io::Task<bool> ResponseWriter::begin_stream(int status, std::string_view fields) {
   begin_stream_deferred(status, fields);
-  co_return wrote(co_await socket_.write_all(std::exchange(head_, {})));
+  co_return check_write(co_await socket_.write_all(std::exchange(deferred_head_, {})));
 }
 io::Task<bool> ResponseWriter::write_chunk(std::string_view data) {
   const ChunkSizeLine line(data.size());
-  const std::array<std::string_view, 4> parts{head_, line.text(), data, kChunkEnd};
-  const io::IoResult moved = co_await socket_.write_all(std::span(parts).subspan(head_.empty() ? 1 : 0));
-  head_.clear();
-  co_return wrote(moved);
+  const std::array<std::string_view, 4> parts{deferred_head_, line.text(), data, kChunkEnd};
+  const io::IoResult result =
+      co_await socket_.write_all(std::span(parts).subspan(deferred_head_.empty() ? 1 : 0));
+  deferred_head_.clear();
+  co_return check_write(result);
 }
 io::Task<bool> ResponseWriter::end_stream(std::string_view data) {
   const ChunkSizeLine line(data.size());
-  std::array<std::string_view, 5> parts{head_, line.text(), data, kChunkEnd, kLastChunk};
+  std::array<std::string_view, 5> parts{deferred_head_, line.text(), data, kChunkEnd, kLastChunk};
   if (data.empty()) parts[1] = parts[3] = {};
-  const io::IoResult moved = co_await socket_.write_all(parts);
-  head_.clear();
-  co_return wrote(moved);
+  const io::IoResult result = co_await socket_.write_all(parts);
+  deferred_head_.clear();
+  co_return check_write(result);
 }
 
-Server::Server(io::Loop& loop, io::Address address, Handler handler, MessageLimits bounds,
-               std::size_t connections)
+Server::Server(io::Loop& loop, io::Address address, Handler handler, MessageLimits limits,
+               std::size_t max_connections)
     : loop_(loop),
       handler_(std::move(handler)),
-      bounds_(bounds),
-      connections_(connections),
-      closed_(loop),
+      limits_(limits),
+      max_connections_(max_connections),
+      capacity_changed_(loop),
       listener_(loop, address),
-      sessions_(loop),
-      acceptor_(loop, io::Scope::OnException::end_process),
-      keeper_(loop, io::Scope::OnException::end_process) {
-  acceptor_.spawn(accept());
+      session_scope_(loop),
+      accept_scope_(loop, io::Scope::OnException::end_process),
+      timeout_scope_(loop, io::Scope::OnException::end_process) {
+  accept_scope_.spawn(accept());
 }
 
-// Each ends by itself, as what it waits to read fails.
-template <class Judge>
-void Server::end_idle_if(Judge judge) {
-  for (auto it = idle_.begin(); it != idle_.end();) {
+// The affected sessions end by themselves, as their pending reads fail.
+template <class Decide>
+void Server::end_idle_where(Decide decide) {
+  for (auto it = idle_connections_.begin(); it != idle_connections_.end();) {
     IdleConnection& idle = *it++;
-    const Ending ending = judge(idle);
-    if (ending != Ending::stays) end_idle(idle, ending);
+    const IdleAction action = decide(idle);
+    if (action != IdleAction::keep) end_idle(idle, action);
   }
 }
 
-void Server::end_idle(IdleConnection& idle, Ending ending) {
-  idle_.erase(idle_.iterator_to(idle));
-  idle.ending = ending;
-  if (ending == Ending::closed)
+void Server::end_idle(IdleConnection& idle, IdleAction action) {
+  idle_connections_.erase(idle_connections_.iterator_to(idle));
+  idle.action = action;
+  if (action == IdleAction::close)
     idle.socket.close();
   else
     idle.socket.cancel_read();
 }
 
 void Server::stop_accepting() {
-  acceptor_.cancel();
-  accepting_rest_ = true;
-  acceptor_.spawn(accept_rest());
+  accept_scope_.cancel();
+  draining_accept_queue_ = true;
+  accept_scope_.spawn(drain_accept_queue());
   drain(true);
 }
 
-// Closes the listener, but first takes what the machine has accepted: a connection that is left in the listener's queue is
-// reset with the request that it carries.
-io::Task<> Server::accept_rest() {
+// Accepts the connections in the accept queue, then closes the listener: closing it would reset queued
+// connections, whose clients may have sent a request already.
+io::Task<> Server::drain_accept_queue() {
   for (;;) {
-    co_await room_for_one();
+    co_await wait_for_capacity();
     io::Socket socket = co_await listener_.accept_queued();
     if (!socket.is_open()) break;
-    begin(std::move(socket));
+    start_session(std::move(socket));
   }
   listener_.close();
-  accepting_rest_ = false;
+  draining_accept_queue_ = false;
   drain(true);
 }
 
 void Server::drain(bool all) {
-  stopping_ = true;
-  end_idle_if([all](const IdleConnection& idle) {
-    const bool unused = idle.first && !idle.half_read() && !idle.socket.has_unread_data();
-    return idle.between_requests() || (all && unused) ? Ending::ended : Ending::stays;
+  draining_ = true;
+  end_idle_where([all](const IdleConnection& idle) {
+    const bool unused = idle.first && !idle.has_partial_request() && !idle.socket.has_unread_data();
+    return idle.between_requests() || (all && unused) ? IdleAction::end_gracefully : IdleAction::keep;
   });
 }
 
 void Server::set_timeouts(Timeouts timeouts) {
   timeouts_ = timeouts;
-  keeper_.spawn(end_overdue());
+  timeout_scope_.spawn(enforce_timeouts());
 }
 
-io::Task<> Server::end_overdue() {
+io::Task<> Server::enforce_timeouts() {
   for (;;) {
-    co_await loop_.sleep_for(kLook);
-    // A request may be on its way on one that rests; who has not brought one, or lingers, is owed no more time.
-    end_idle_if([this](IdleConnection& idle) {
-      const bool begins = !idle.first && idle.half_read() && !std::exchange(idle.part_seen, true);
-      if (begins) idle.due = due(timeouts_.request - kLook);  // it came since the last look
-      if (idle.due > loop_.now()) return Ending::stays;
-      if (idle.half_read()) return Ending::timed_out;
-      if (idle.between_requests()) return Ending::ended;
-      return idle.socket.has_unread_data() && !idle.lingers() ? Ending::stays : Ending::closed;
+    co_await loop_.sleep_for(kTimeoutCheckInterval);
+    // A connection between two requests is ended gracefully, as a request may be in flight on it; one without
+    // a request, or one that lingers, is closed at once.
+    end_idle_where([this](IdleConnection& idle) {
+      const bool request_begins =
+          !idle.first && idle.has_partial_request() && !std::exchange(idle.partial_request_seen, true);
+      // Its first byte arrived within the last check interval.
+      if (request_begins) idle.deadline = deadline_after(timeouts_.request - kTimeoutCheckInterval);
+      if (idle.deadline > loop_.now()) return IdleAction::keep;
+      if (idle.has_partial_request()) return IdleAction::reject_timed_out;
+      if (idle.between_requests()) return IdleAction::end_gracefully;
+      return idle.socket.has_unread_data() && !idle.is_lingering() ? IdleAction::keep : IdleAction::close;
     });
   }
 }
 
-// At the bound the connection that has been idle longest makes way: one that carries nothing, read or unread. Where all carry
-// a part of a request, the first of these is answered that there is no room.
+// At the connection limit, closes the connection that has been idle longest and has received no data of a
+// request. If every idle connection has received some, the oldest of them is rejected with
+// MessageError::no_capacity.
 void Server::evict_one() {
   if (timeouts_.idle == 0) return;
-  IdleConnection* half_read = nullptr;
-  for (IdleConnection& idle : idle_) {
-    if (idle.half_read()) {
-      if (half_read == nullptr) half_read = &idle;
+  IdleConnection* partial = nullptr;
+  for (IdleConnection& idle : idle_connections_) {
+    if (idle.has_partial_request()) {
+      if (partial == nullptr) partial = &idle;
       continue;
     }
-    if (!idle.socket.has_unread_data()) return evict(idle, Ending::closed);
+    if (!idle.socket.has_unread_data()) return evict(idle, IdleAction::close);
   }
-  if (half_read != nullptr) evict(*half_read, Ending::crowded_out);
+  if (partial != nullptr) evict(*partial, IdleAction::reject_no_capacity);
 }
 
-void Server::evict(IdleConnection& idle, Ending ending) {
+void Server::evict(IdleConnection& idle, IdleAction action) {
   idle.evicted = true;
-  ++evicted_;
-  end_idle(idle, ending);
+  ++pending_evictions_;
+  end_idle(idle, action);
 }
 
-void Server::throttle_accept(io::Nanos each) {
-  accept_each_ = each;
-  listener_.set_backlog(each > 0 ? 0 : 1024);
+void Server::throttle_accept(io::Nanos interval) {
+  accept_interval_ = interval;
+  listener_.set_backlog(interval > 0 ? 0 : 1024);
 }
 
 void Server::kill() {
-  acceptor_.cancel();
+  accept_scope_.cancel();
   listener_.close();
-  sessions_.cancel();
-  open_ = 0;
+  session_scope_.cancel();
+  open_connections_ = 0;
 }
 
 io::Task<> Server::accept() {
   for (;;) {
-    co_await room_for_one();
+    co_await wait_for_capacity();
     io::Socket socket = co_await listener_.accept();
     if (!socket.is_open()) co_return;
-    begin(std::move(socket));
-    if (accept_each_ > 0) co_await loop_.sleep_for(accept_each_);
+    start_session(std::move(socket));
+    if (accept_interval_ > 0) co_await loop_.sleep_for(accept_interval_);
   }
 }
 
-io::Task<> Server::room_for_one() {
-  while (open_ >= connections_) {
-    if (open_ - evicted_ >= connections_) evict_one();
-    // Those that carried something now may carry nothing later, and nobody tells of that.
-    co_await io::wait_until(loop_, closed_, loop_.now() + kLook);
+io::Task<> Server::wait_for_capacity() {
+  while (open_connections_ >= max_connections_) {
+    if (open_connections_ - pending_evictions_ >= max_connections_) evict_one();
+    // A connection that cannot be evicted now may become evictable without a notification: check again at
+    // intervals.
+    co_await io::wait_until(loop_, capacity_changed_, loop_.now() + kTimeoutCheckInterval);
   }
 }
 
-void Server::begin(io::Socket socket) {
-  ++open_;
-  socket.set_write_stall_timeout(write_stall_);
-  sessions_.spawn(serve(std::move(socket)));
+void Server::start_session(io::Socket socket) {
+  ++open_connections_;
+  socket.set_write_stall_timeout(write_stall_timeout_);
+  session_scope_.spawn(run_session(std::move(socket)));
 }
 
-io::Task<> Server::refuse(io::Socket& socket, MessageError fault, bool& evicted) {
-  const int status = status_of(fault);
-  const std::string body = refusal_ ? refusal_(status, fault) : std::string(to_string(fault)) + "\n";
+io::Task<> Server::reject(io::Socket& socket, MessageError error, bool& evicted) {
+  const int status = status_for(error);
+  const std::string body =
+      format_error_body_ ? format_error_body_(status, error) : std::string(to_string(error)) + "\n";
   co_await socket.write_all(format_response(status, "content-type: application/json\r\n", body, false));
-  // Unread bytes of what was refused would reset the connection, and could take the answer with it.
-  co_await end_in_order(socket, evicted, StillRead::rest_of_refused);
+  // Unread data of the rejected request would reset the connection, and the client could lose the response.
+  co_await close_gracefully(socket, evicted, DataUntilClose::discard);
 }
 
-// Ends the sending side behind what was written, so that it reaches the client, and waits a while for the client's own end.
-// One that makes way for another has no time for it.
-io::Task<> Server::end_in_order(io::Socket& socket, bool& evicted, StillRead still_read) {
+// Sends a FIN after the written data, so that the data reaches the client, and waits up to kLingerTime for
+// the client to close. An evicted connection is not waited for.
+io::Task<> Server::close_gracefully(io::Socket& socket, bool& evicted, DataUntilClose data) {
   if (!socket.is_open() || evicted) co_return;
-  const io::Nanos until = loop_.now() + kLinger;
-  IdleConnection idle(*this, socket, until, evicted);
+  const io::Nanos deadline = loop_.now() + kLingerTime;
+  IdleConnection idle(*this, socket, deadline, evicted);
   ::shutdown(socket.fd(), SHUT_WR);
-  if (still_read == StillRead::nothing) {
-    // A request that crosses the end stays unread: the kernel tells its client by a reset, and it is sent again.
-    co_await io::with_deadline(loop_, until, client_ends(socket));
+  if (data == DataUntilClose::keep_unread) {
+    // A request that crosses the FIN stays unread: the kernel resets the connection, and the client sends the
+    // request again.
+    co_await io::with_deadline(loop_, deadline, wait_for_client_close(socket));
     co_return;
   }
   std::array<char, 16 * 1024> buffer;
   for (;;) {
-    const auto got = co_await io::with_deadline(loop_, until, socket.read_some(buffer));
-    if (!got || !got->ok() || got->bytes == 0) break;
+    const auto result = co_await io::with_deadline(loop_, deadline, socket.read_some(buffer));
+    if (!result || !result->ok() || result->bytes == 0) break;
   }
 }
 
-io::Task<bool> Server::client_ends(io::Socket& socket) {
+io::Task<bool> Server::wait_for_client_close(io::Socket& socket) {
   co_await socket.wait_for_peer_close();
   co_return true;
 }
 
-// The next request of a connection, or why there is none.
+// Reads the next request of a connection, or returns why there is none.
 io::Task<MessageError> Server::read_request(Session& session, Request& request) {
   request.body.clear();
-  const bool first = session.requests++ == 0;
-  IdleConnection idle(*this, session.socket, due(first ? timeouts_.first_request : timeouts_.idle),
+  const bool first = session.request_count++ == 0;
+  IdleConnection idle(*this, session.socket, deadline_after(first ? timeouts_.first_request : timeouts_.idle),
                       session.evicted, &session.reader);
   idle.first = first;
-  MessageError fault = co_await session.reader.read_head(request.head);
-  // RFC 9110, 10.1.1: the client may wait to be asked for the body.
-  if (fault == MessageError::none && request.head.field("expect") == "100-continue" &&
+  MessageError error = co_await session.reader.read_head(request.head);
+  // RFC 9110, 10.1.1: the client may wait for this response before it sends the body.
+  if (error == MessageError::none && request.head.field("expect") == "100-continue" &&
       session.reader.has_more())
     co_await session.socket.write_all("HTTP/1.1 100 Continue\r\n\r\n");
-  if (fault == MessageError::none) fault = co_await session.reader.read_body(request.body);
-  session.ended = idle.ending == Ending::ended;
-  if (idle.ending == Ending::timed_out) co_return MessageError::timed_out;
-  if (idle.ending == Ending::crowded_out) co_return MessageError::no_capacity;
-  // A client that has ended its connection has gone, whatever it sent before.
-  co_return session.socket.peer_closed() ? MessageError::closed : fault;
+  if (error == MessageError::none) error = co_await session.reader.read_body(request.body);
+  session.ended_by_server = idle.action == IdleAction::end_gracefully;
+  if (idle.action == IdleAction::reject_timed_out) co_return MessageError::timed_out;
+  if (idle.action == IdleAction::reject_no_capacity) co_return MessageError::no_capacity;
+  // A client that has closed its connection no longer waits for a response, even to a complete request.
+  co_return session.socket.peer_closed() ? MessageError::closed : error;
 }
 
-io::Nanos Server::due(io::Nanos span) const { return span > 0 ? loop_.now() + span : io::Loop::kNoTimer; }
+io::Nanos Server::deadline_after(io::Nanos timeout) const {
+  return timeout > 0 ? loop_.now() + timeout : io::Loop::kNoTimer;
+}
 
-// An exception ends the request that it comes from, and no other.
-io::Task<Server::Handled> Server::handle(Request& request, ResponseWriter& answer) {
+// Runs the handler. An exception that it throws ends only this request.
+io::Task<Server::HandlerOutcome> Server::handle(Request& request, ResponseWriter& response) {
   std::exception_ptr thrown;
   try {
-    co_await handler_(request, answer);
+    co_await handler_(request, response);
   } catch (...) {
     thrown = std::current_exception();
   }
   if (thrown) {
     loop_.report_task_failure(thrown);
-    if (!answer.started() && !answer.write_failed()) {
-      answer.close_after_response();
-      co_await answer.respond(500, "", "");
+    if (!response.started() && !response.write_failed()) {
+      response.close_after_response();
+      co_await response.respond(500, "", "");
     } else {
-      answer.abort();
+      response.abort();
     }
-    co_return Handled::answered;
+    co_return HandlerOutcome::answered;
   }
-  if (answer.started()) co_return Handled::answered;
-  if (!answer.socket().is_open() || answer.write_failed()) co_return Handled::client_left;
-  answer.abort();
-  co_return Handled::unanswered;
+  if (response.started()) co_return HandlerOutcome::answered;
+  if (!response.socket().is_open() || response.write_failed()) co_return HandlerOutcome::client_left;
+  response.abort();
+  co_return HandlerOutcome::unanswered;
 }
 
-// The requests of one connection, until it ends.
-io::Task<ConnectionEnd> Server::converse(Session& session) {
+// Serves the requests of one connection until the connection ends.
+io::Task<ConnectionEnd> Server::serve_requests(Session& session) {
   io::Socket& socket = session.socket;
   Request request;
   while (socket.is_open()) {
-    const MessageError fault = co_await read_request(session, request);
-    if (session.ended) {
-      co_await end_in_order(socket, session.evicted, StillRead::nothing);
+    const MessageError error = co_await read_request(session, request);
+    if (session.ended_by_server) {
+      co_await close_gracefully(socket, session.evicted, DataUntilClose::keep_unread);
       co_return ConnectionEnd::idle;
     }
-    if (session.evicted && fault == MessageError::closed) co_return ConnectionEnd::evicted;
-    if (fault == MessageError::closed)
+    if (session.evicted && error == MessageError::closed) co_return ConnectionEnd::evicted;
+    if (error == MessageError::closed)
       co_return socket.is_open() ? ConnectionEnd::by_client : ConnectionEnd::idle;
-    if (fault != MessageError::none) {
-      co_await refuse(socket, fault, session.evicted);
+    if (error != MessageError::none) {
+      co_await reject(socket, error, session.evicted);
       co_return ConnectionEnd::refused;
     }
     request.received_at = std::min(loop_.now(), session.reader.received_at());
-    // What has been read of further requests is answered, too: their client will not send them again.
-    const auto ends = [&] { return stopping_ && !session.reader.has_leftover(); };
-    ResponseWriter answer(socket, request.head.keep_alive && !ends());
-    const Handled handled = co_await handle(request, answer);
-    if (handled == Handled::unanswered) co_return ConnectionEnd::unanswered;
-    if (handled == Handled::client_left || answer.write_failed()) co_return ConnectionEnd::by_client;
-    if (answer.keep_alive() && !ends()) continue;
-    co_await end_in_order(socket, session.evicted, StillRead::nothing);
+    // When draining, requests that are already in the buffer are still served: their client would not send
+    // them again.
+    const auto is_last = [&] { return draining_ && !session.reader.has_leftover(); };
+    ResponseWriter response(socket, request.head.keep_alive && !is_last());
+    const HandlerOutcome outcome = co_await handle(request, response);
+    if (outcome == HandlerOutcome::unanswered) co_return ConnectionEnd::unanswered;
+    if (outcome == HandlerOutcome::client_left || response.write_failed()) co_return ConnectionEnd::by_client;
+    if (response.keep_alive() && !is_last()) continue;
+    co_await close_gracefully(socket, session.evicted, DataUntilClose::keep_unread);
     co_return ConnectionEnd::after_answer;
   }
   co_return ConnectionEnd::by_client;
 }
 
-io::Task<> Server::serve(io::Socket socket) {
-  Session session{socket, MessageReader(socket, MessageKind::request, bounds_)};
-  const ConnectionEnd end = co_await converse(session);
+io::Task<> Server::run_session(io::Socket socket) {
+  Session session{socket, MessageReader(socket, MessageKind::request, limits_)};
+  const ConnectionEnd end = co_await serve_requests(session);
   if (observe_end_) observe_end_(end);
   socket.close();
-  evicted_ -= session.evicted;
-  --open_;
-  closed_.notify();
+  pending_evictions_ -= session.evicted;
+  --open_connections_;
+  capacity_changed_.notify();
 }
 
 }  // namespace cressrill::http
--- a/http/server.h
+++ b/http/server.h
@@ -1,4 +1,4 @@
-// Serves HTTP/1.1 on a listener: one coroutine a connection, one request at a time on each.
+// HTTP/1.1 server: one coroutine for each connection, one request at a time on each connection.
 #pragma once
 
 #include <functional>
@@ -10,171 +10,195 @@
 
 struct Request {
   Head head;
-  std::string body;         // with room for kSlack more
-  io::Nanos received_at{};  // when its last byte had come
+  std::string body;         // with capacity for kReadPaddingBytes more
+  io::Nanos received_at{};  // when the kernel received its last byte
 };
 
-// What a handler answers with. A handler writes one whole response, or a stream, and nothing else.
+// Writes the response to one request. A handler calls either respond() once, or one of the begin_stream
+// functions, any number of times write_chunk(), and end_stream(). Functions that write return whether the
+// write succeeded.
 class ResponseWriter {
  public:
   ResponseWriter(io::Socket& socket, bool keep_alive) : socket_(socket), keep_alive_(keep_alive) {}
-  // fields: "name: value\r\n" lines.
+  // Writes a complete response. fields: header lines, each "name: value\r\n".
   io::Task<bool> respond(int status, std::string_view fields, std::string_view body);
+  // Writes the head of a chunked response.
   io::Task<bool> begin_stream(int status, std::string_view fields);
-  // As begin, but the head goes out with the first part, in one call of the kernel.
+  // As begin_stream(), but the head is written together with the first chunk, in one system call.
   void begin_stream_deferred(int status, std::string_view fields);
   io::Task<bool> write_chunk(std::string_view data);
-  // data: a last part, or none.
+  // Ends a stream. data: the last chunk, or empty.
   io::Task<bool> end_stream(std::string_view data = {});
-  // The peer is left without a proper end: it sees that the answer broke.
-  void abort() { keep_alive_ = false, socket_.close(true); }
+  // Resets the connection, so that the client sees that the response is incomplete.
+  void abort() {
+    keep_alive_ = false;
+    socket_.close(true);
+  }
   io::Task<> wait_for_client_close() { return socket_.wait_for_peer_close(); }
   io::Socket& socket() { return socket_; }
-  bool started() const { return begun_; }
-  bool write_failed() const { return broken_; }
-  // Broken as the peer took nothing for as long as the connection allows.
-  bool write_stalled() const { return stalled_; }
+  // Whether the handler has begun a response.
+  bool started() const { return started_; }
+  bool write_failed() const { return write_failed_; }
+  // Whether a write failed because the client accepted no data for the write stall timeout.
+  bool write_stalled() const { return write_stalled_; }
   bool keep_alive() const { return keep_alive_; }
-  // The connection ends behind what was written, which still reaches the peer: with an answer that was not ended, cut.
+  // Closes the connection after what was written, which still reaches the client. A stream without
+  // end_stream() is truncated.
   void close_after_response() { keep_alive_ = false; }
 
  private:
-  bool wrote(const io::IoResult& moved);
+  bool check_write(const io::IoResult& result);
   io::Socket& socket_;
-  std::string head_;  // waits for the first part
+  std::string deferred_head_;  // written with the first chunk
   bool keep_alive_;
-  bool begun_{};
-  bool broken_{};
-  bool stalled_{};
+  bool started_{};
+  bool write_failed_{};
+  bool write_stalled_{};
 };
 
-// Bounds on how long a client may take; 0: no bound.
+// Limits on the time that a client may take, enforced at intervals of 100 ms; 0: no limit.
 struct Timeouts {
-  io::Nanos first_request{};  // from connecting to the end of its first request
-  io::Nanos request{};  // from a later request's first byte to its end, within the time between two looks
-  io::Nanos idle{};     // between two requests
+  io::Nanos first_request{};  // from accepting the connection to the end of its first request
+  io::Nanos request{};        // from the first byte of a later request to its end
+  io::Nanos idle{};           // between two requests
 };
 
-// Why a client's connection ended, as far as this side knows.
+// Why a client's connection ended, as far as the server knows.
 enum class ConnectionEnd {
-  by_client,     // it ended or broke the connection, or asked for its end
-  after_answer,  // with an answer that ends it, or as the server stops
-  refused,       // behind a request that could not be read
-  idle,          // it rested too long, or as the server stops
-  evicted,       // it made way for another
-  unanswered,    // behind a request that was read and that nobody answered: a defect
+  by_client,     // the client closed or broke it
+  after_answer,  // closed after a response, at the client's request or because the server is draining
+  refused,       // closed after a request that could not be read
+  idle,          // closed after the idle timeout, or because the server is draining
+  evicted,       // closed to make room for another connection
+  unanswered,    // closed after a request to which its handler gave no response: a defect
 };
+// Name of the value, as it is used in metrics.
 const char* to_string(ConnectionEnd end);
 
+// Accepts connections from its construction on; requests are passed to the handler. A failed accept loop ends
+// the process, an exception of a handler ends only its request.
 class Server {
  public:
   using ConnectionEndObserver = std::function<void(ConnectionEnd)>;
   using Handler = std::function<io::Task<>(Request&, ResponseWriter&)>;
-  // What a request that cannot be read is answered with: status and body, sent before the connection closes.
-  using ErrorBodyFormatter = std::function<std::string(int status, MessageError fault)>;
+  // Returns the JSON body of the response to a request that cannot be read.
+  using ErrorBodyFormatter = std::function<std::string(int status, MessageError error)>;
 
-  Server(io::Loop& loop, io::Address address, Handler handler, MessageLimits bounds = {},
-         std::size_t connections = 20'000);
+  Server(io::Loop& loop, io::Address address, Handler handler, MessageLimits limits = {},
+         std::size_t max_connections = 20'000);
   const io::Address& address() const { return listener_.address(); }
-  void set_error_body_formatter(ErrorBodyFormatter refusal) { refusal_ = std::move(refusal); }
+  void set_error_body_formatter(ErrorBodyFormatter formatter) { format_error_body_ = std::move(formatter); }
   void observe_connection_ends(ConnectionEndObserver observer) { observe_end_ = std::move(observer); }
-  // Ends connections whose clients take longer. Set before the first comes.
+  // Closes connections whose clients take longer. Call it once, before the first connection.
   void set_timeouts(Timeouts timeouts);
-  // Ends a connection whose client takes nothing of what is written to it for so long. Set before the first comes.
-  void set_write_stall_timeout(io::Nanos span) { write_stall_ = span; }
-  // Connections end after the request that they carry, those that have carried one and carry none at once; new ones are
-  // still taken, and may bring one. all: those that have carried none end as well.
+  // Closes a connection whose client accepts no written data for that long. Call it before the first
+  // connection.
+  void set_write_stall_timeout(io::Nanos timeout) { write_stall_timeout_ = timeout; }
+  // From now on, closes each connection after its current request, and at once if it is idle and has served
+  // one. New connections are still accepted for one request. all: also closes connections that have not
+  // carried a request yet.
   void drain(bool all);
-  // No new connections beside those that the machine has accepted; those that are open end after the request that they
-  // carry.
+  // Accepts the connections that are in the accept queue, then closes the listener; drains all connections.
   void stop_accepting();
-  std::size_t open_connections() const { return open_; }
-  // Told to stop accepting, and the machine may still hold connections that it accepted and that nobody has taken.
-  bool draining_accept_queue() const { return accepting_rest_; }
-  // Connections with a request in hand.
-  std::size_t active_connections() const { return open_ - idle_count_; }
-  // For stand-ins: takes a connection at most each so often, with no line of those that wait; 0 as usual.
-  void throttle_accept(io::Nanos each);
-  // Breaks every connection and stops listening.
+  std::size_t open_connections() const { return open_connections_; }
+  // Whether stop_accepting() was called and the accept queue may still hold connections.
+  bool draining_accept_queue() const { return draining_accept_queue_; }
+  // Number of connections with a request that is being handled.
+  std::size_t active_connections() const { return open_connections_ - idle_count_; }
+  // For test servers: accepts one connection per interval at most, with a backlog of 0; interval 0 ends that.
+  void throttle_accept(io::Nanos interval);
+  // Closes every connection and the listener at once.
   void kill();
 
  private:
-  // State of one connection beside its socket.
   struct Session {
     io::Socket& socket;
     MessageReader reader;
-    std::size_t requests{};  // whose reading has begun
-    bool evicted{};          // it was closed to make room
-    bool ended{};            // this side has ended it: what still comes is not read
+    std::size_t request_count{};  // including the one that is being read
+    bool evicted{};               // closed to make room for another connection
+    bool ended_by_server{};       // closed by this side while idle: later data is not read
   };
 
   io::Task<> accept();
-  io::Task<> accept_rest();
-  io::Task<> room_for_one();
-  void begin(io::Socket socket);
-  io::Task<> serve(io::Socket socket);
-  io::Task<ConnectionEnd> converse(Session& session);
-  enum class Handled { answered, client_left, unanswered };
-  io::Task<Handled> handle(Request& request, ResponseWriter& answer);
+  io::Task<> drain_accept_queue();
+  io::Task<> wait_for_capacity();
+  void start_session(io::Socket socket);
+  io::Task<> run_session(io::Socket socket);
+  io::Task<ConnectionEnd> serve_requests(Session& session);
+  enum class HandlerOutcome { answered, client_left, unanswered };
+  io::Task<HandlerOutcome> handle(Request& request, ResponseWriter& response);
   io::Task<MessageError> read_request(Session& session, Request& request);
-  io::Nanos due(io::Nanos span) const;
-  io::Task<> refuse(io::Socket& socket, MessageError fault, bool& evicted);
+  // kNoTimer if timeout is 0.
+  io::Nanos deadline_after(io::Nanos timeout) const;
+  io::Task<> reject(io::Socket& socket, MessageError error, bool& evicted);
 
-  // What becomes of an idle connection: closed at once, ended so that bytes that cross its end do no harm, or, where a part
-  // of a request has come, answered with an error.
-  enum class Ending { stays, closed, ended, timed_out, crowded_out };
+  // What to do with a connection that waits for a request or for its rest.
+  enum class IdleAction {
+    keep,
+    close,              // at once
+    end_gracefully,     // with a FIN, so that data in flight does no harm
+    reject_timed_out,   // a request was partly received: respond with MessageError::timed_out
+    reject_no_capacity  // the same with MessageError::no_capacity
+  };
 
   io::Loop& loop_;
   Handler handler_;
-  ErrorBodyFormatter refusal_;
+  ErrorBodyFormatter format_error_body_;
   ConnectionEndObserver observe_end_;
-  MessageLimits bounds_;
-  std::size_t connections_;
-  std::size_t open_{};
-  bool stopping_{};
-  bool accepting_rest_{};
-  io::Nanos accept_each_{};
-  // A connection that carries no whole request, from its beginning or its last answer on. In the list by that time.
+  MessageLimits limits_;
+  std::size_t max_connections_;
+  std::size_t open_connections_{};
+  bool draining_{};
+  bool draining_accept_queue_{};
+  io::Nanos accept_interval_{};
+  // A connection without a complete request, from its start or its last response on. Listed in that order.
   struct IdleConnection : io::intrusive::list_base_hook<io::AutoUnlink> {
-    IdleConnection(Server& of, io::Socket& s, io::Nanos until, bool& e, const MessageReader* r = nullptr)
-        : server(of), socket(s), due(until), evicted(e), reader(r) {
-      server.idle_.push_back(*this), ++server.idle_count_;
-      if (server.open_ >= server.connections_) server.closed_.notify();  // it may make room
+    IdleConnection(Server& owner, io::Socket& idle_socket, io::Nanos idle_deadline, bool& evicted_flag,
+                   const MessageReader* request_reader = nullptr)
+        : server(owner),
+          socket(idle_socket),
+          deadline(idle_deadline),
+          evicted(evicted_flag),
+          reader(request_reader) {
+      server.idle_connections_.push_back(*this);
+      ++server.idle_count_;
+      // It may be evicted for a connection that waits to be accepted.
+      if (server.open_connections_ >= server.max_connections_) server.capacity_changed_.notify();
     }
     ~IdleConnection() { --server.idle_count_; }
     Server& server;
     io::Socket& socket;
-    io::Nanos due;
+    io::Nanos deadline;
     bool& evicted;
-    const MessageReader* reader;   // of its requests; null where it lingers
-    bool first{};                  // it has carried no request yet
-    bool part_seen{};              // a part of its next request has come, and 'due' counts from then
-    Ending ending{Ending::stays};  // how this side ends it
-    bool lingers() const { return reader == nullptr; }
-    // A part of a request has come, read or not: its client is owed an answer.
-    bool half_read() const { return reader != nullptr && reader->started(); }
-    bool between_requests() const { return !first && !lingers() && !half_read(); }
+    const MessageReader* reader;          // null while it waits for the client to close
+    bool first{};                         // it has not carried a request yet
+    bool partial_request_seen{};          // deadline is that of a request that was partly received
+    IdleAction action{IdleAction::keep};  // how the server ends it
+    bool is_lingering() const { return reader == nullptr; }
+    // Whether part of a request has been received, so that its client must get a response.
+    bool has_partial_request() const { return reader != nullptr && reader->started(); }
+    bool between_requests() const { return !first && !is_lingering() && !has_partial_request(); }
   };
-  io::Task<> end_overdue();
+  io::Task<> enforce_timeouts();
   void evict_one();
-  // What is read of a connection that this side has ended.
-  enum class StillRead { nothing, rest_of_refused };
-  io::Task<> end_in_order(io::Socket& socket, bool& evicted, StillRead still_read);
-  static io::Task<bool> client_ends(io::Socket& socket);
-  std::size_t evicted_{};  // connections that were closed to make room, and have not ended yet
-  template <class Judge>
-  void end_idle_if(Judge judge);
-  void end_idle(IdleConnection& idle, Ending ending);
-  void evict(IdleConnection& idle, Ending ending);
+  // What happens to data that arrives after the server has sent its FIN.
+  enum class DataUntilClose { keep_unread, discard };
+  io::Task<> close_gracefully(io::Socket& socket, bool& evicted, DataUntilClose data);
+  static io::Task<bool> wait_for_client_close(io::Socket& socket);
+  std::size_t pending_evictions_{};  // evicted connections whose session has not ended yet
+  template <class Decide>
+  void end_idle_where(Decide decide);
+  void end_idle(IdleConnection& idle, IdleAction action);
+  void evict(IdleConnection& idle, IdleAction action);
   Timeouts timeouts_;
-  io::Nanos write_stall_{};
+  io::Nanos write_stall_timeout_{};
   std::size_t idle_count_{};
-  io::intrusive::list<IdleConnection, io::intrusive::constant_time_size<false>> idle_;
-  io::Signal closed_;
+  io::intrusive::list<IdleConnection, io::intrusive::constant_time_size<false>> idle_connections_;
+  io::Signal capacity_changed_;  // a connection was closed or can be evicted
   io::Listener listener_;
-  io::Scope sessions_;
-  io::Scope acceptor_;
-  io::Scope keeper_;
+  io::Scope session_scope_;
+  io::Scope accept_scope_;
+  io::Scope timeout_scope_;
 };
 
 }  // namespace cressrill::http
