--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -1,4 +1,5 @@
-// The scheduler and sockets: order, time, and cancellation that reaches every wait.
+// Tests of the event loop, sockets and HTTP messages: order, time, cancellation, parsing and connection
+// reuse.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -15,9 +16,10 @@
 
 namespace {
 
-struct Gone {  // tells that its coroutine's frame was destroyed
-  bool& flag;
-  ~Gone() { flag = true; }
+// Sets a flag when the frame of its coroutine is destroyed.
+struct DestructionFlag {
+  bool& destroyed;
+  ~DestructionFlag() { destroyed = true; }
 };
 
 io::Task<int> twice(io::Loop& loop, int n) {
@@ -27,61 +29,69 @@
 
 }  // namespace
 
-TEST_CASE("kept connections of an age at which requests are lost are left alone, others are used") {
-  http::IdleReuseTracker reuse;
-  std::string seen;
-  const auto worth = [&](io::Nanos now) {
-    for (const int ms : {10, 50, 150, 300, 700, 3000}) seen += reuse.worth_using(ms * kMs, now) ? "+" : "-";
-    seen += " ";
+TEST_CASE("idle connections are not reused at an idle time at which requests were lost, and are at others") {
+  http::IdleReuseTracker tracker;
+  std::string decisions;
+  const auto append_decisions = [&](io::Nanos now) {
+    for (const int idle_ms : {10, 50, 150, 300, 700, 3000})
+      decisions += tracker.worth_using(idle_ms * kMs, now) ? "+" : "-";
+    decisions += " ";
   };
-  worth(0);
-  for (int i = 0; i < 40; ++i) reuse.record_response(10 * kMs, i * kMs);
-  reuse.record_loss(300 * kMs, 50 * kMs);  // one loss says little
-  worth(60 * kMs);
-  reuse.record_loss(300 * kMs, 70 * kMs), reuse.record_loss(10 * kMs, 70 * kMs);
-  worth(80 * kMs);
-  worth(11 * io::kSecond);  // it is tried again
-  CHECK(seen == "++++++ ++++++ +++-++ ++++++ ");
+  append_decisions(0);
+  for (int i = 0; i < 40; ++i) tracker.record_response(10 * kMs, i * kMs);
+  tracker.record_loss(300 * kMs, 50 * kMs);  // a single loss does not exclude reuse
+  append_decisions(60 * kMs);
+  tracker.record_loss(300 * kMs, 70 * kMs);
+  tracker.record_loss(10 * kMs, 70 * kMs);
+  append_decisions(80 * kMs);
+  append_decisions(11 * io::kSecond);  // the losses have decayed, so reuse is tried again
+  CHECK(decisions == "++++++ ++++++ +++-++ ++++++ ");
 }
 
-TEST_CASE("bytes that were seen and left are all read later, however many reads they take") {
+TEST_CASE("data seen by wait_for_peer_close is read completely afterwards, in any number of reads") {
   io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   io::Scope scope(loop);
-  std::size_t got = 0;
+  std::size_t received = 0;
   scope.spawn([](io::Loop& l, io::Address to) -> io::Task<> {
-    io::Socket s;
-    co_await io::connect(l, to, s);
-    co_await s.write_all(std::string(10'000, 'x'));
+    io::Socket socket;
+    co_await io::connect(l, to, socket);
+    co_await socket.write_all(std::string(10'000, 'x'));
     co_await l.sleep_for(5000 * kMs);
   }(loop, listener.address()));
-  scope.spawn([](io::Loop& l, io::Listener& from, std::size_t& n) -> io::Task<> {
-    io::Socket s = co_await from.accept();
+  scope.spawn([](io::Loop& l, io::Listener& from, std::size_t& bytes) -> io::Task<> {
+    io::Socket socket = co_await from.accept();
     {
-      io::Scope watch(l);  // as while a request is in hand: does the client leave?
-      watch.spawn(s.wait_for_peer_close());
+      io::Scope watch(l);  // as the router does while it handles a request
+      watch.spawn(socket.wait_for_peer_close());
       co_await l.sleep_for(100 * kMs);
     }
-    std::array<char, 1000> some;
-    while (n < 10'000) n += (co_await s.read_some(some)).bytes;
-  }(loop, listener, got));
-  loop.run_until([&] { return got == 10'000 || loop.now() > 20 * io::kSecond; });
-  CHECK(got == 10'000);
+    std::array<char, 1000> buffer;
+    while (bytes < 10'000) bytes += (co_await socket.read_some(buffer)).bytes;
+  }(loop, listener, received));
+  loop.run_until([&] { return received == 10'000 || loop.now() > 20 * io::kSecond; });
+  CHECK(received == 10'000);
 }
 
-TEST_CASE("timers run in the order of their times, those of one time as they were set; the clock jumps") {
+TEST_CASE(
+    "timers fire by due time, then in the order in which they were set; the simulated clock advances to "
+    "them") {
   io::Loop loop(io::Loop::Clock::simulated);
   const io::Nanos start = loop.now();
   std::string order;
   {
     io::Scope scope(loop);
-    const auto wait = [&](char name, int ms) {
-      scope.spawn([](io::Loop& l, std::string& o, char c, int span) -> io::Task<> {
-        co_await l.sleep_for(span * kMs);
-        o.push_back(c);
+    const auto start_timer = [&](char name, int ms) {
+      scope.spawn([](io::Loop& l, std::string& fired, char id, int delay_ms) -> io::Task<> {
+        co_await l.sleep_for(delay_ms * kMs);
+        fired.push_back(id);
       }(loop, order, name, ms));
     };
-    wait('c', 30), wait('a', 10), wait('b', 20), wait('d', 30), wait('z', 100'000);
+    start_timer('c', 30);
+    start_timer('a', 10);
+    start_timer('b', 20);
+    start_timer('d', 30);
+    start_timer('z', 100'000);
     loop.run_until([&] { return scope.empty(); });
   }
   CHECK(order == "abcdz");
@@ -89,147 +99,153 @@
 }
 
 TEST_CASE(
-    "the wheel gives timers as a sorted list does, whatever is set, taken back, and how far time goes") {
+    "the timer wheel fires the same timers as a sorted list, for random sets, cancellations and time steps") {
   struct Entry : io::intrusive::list_base_hook<io::AutoUnlink> {
     std::int64_t at{};
     std::uint64_t order{};
   };
-  std::uint64_t chance = 7;
-  const auto next = [&](std::uint64_t below) {
-    chance = chance * 6364136223846793005u + 1442695040888963407u;
-    return (chance >> 33) % below;
+  std::uint64_t random_state = 7;
+  const auto random_below = [&](std::uint64_t limit) {
+    random_state = random_state * 6364136223846793005u + 1442695040888963407u;
+    return (random_state >> 33) % limit;
   };
   constexpr std::int64_t kSpans[] = {1'000, kMs, 300 * kMs, 80'000 * kMs, 20'000'000 * kMs};
   auto wheel = std::make_unique<io::TimerWheel<Entry>>();
   std::vector<Entry> entries(64);
   std::int64_t now = 0;
   std::uint64_t order = 0;
-  std::size_t fired = 0;
-  const auto set = [&] {
-    std::vector<const Entry*> out;
-    for (const Entry& e : entries)
-      if (e.is_linked()) out.push_back(&e);
-    std::ranges::sort(out, {}, [](const Entry* e) { return std::pair(e->at, e->order); });
-    return out;
+  std::size_t fired_count = 0;
+  const auto sorted_entries = [&] {
+    std::vector<const Entry*> linked;
+    for (const Entry& entry : entries)
+      if (entry.is_linked()) linked.push_back(&entry);
+    std::ranges::sort(linked, {}, [](const Entry* e) { return std::pair(e->at, e->order); });
+    return linked;
   };
   for (int step = 0; step < 20'000; ++step) {
-    Entry& e = entries[next(entries.size())];
-    if (next(4) == 0) {
-      e.unlink();
+    Entry& entry = entries[random_below(entries.size())];
+    if (random_below(4) == 0) {
+      entry.unlink();
     } else {
-      e.at = now + static_cast<std::int64_t>(next(static_cast<std::uint64_t>(kSpans[next(5)])));
-      e.order = order++;
-      wheel->set(e);
+      entry.at =
+          now + static_cast<std::int64_t>(random_below(static_cast<std::uint64_t>(kSpans[random_below(5)])));
+      entry.order = order++;
+      wheel->set(entry);
     }
-    const auto sorted = set();
-    const std::int64_t first = sorted.empty() ? io::TimerWheel<Entry>::kNone : sorted.front()->at;
-    REQUIRE(wheel->next_due() == first);
-    REQUIRE(wheel->next_due_lower_bound() <= first);
-    // Now and then time goes on: a little, to the next timer exactly, or far past many.
-    if (next(3) == 0) now += static_cast<std::int64_t>(next(static_cast<std::uint64_t>(kSpans[next(4)])));
-    if (next(8) == 0 && !sorted.empty()) now = std::max(now, first);
-    if (next(200) == 0) now += kSpans[4];
-    std::vector<std::uint64_t> due, got;
-    for (const Entry* s : sorted)
-      if (s->at <= now) due.push_back(s->order);
-    wheel->fire(now, [&](Entry& t) { got.push_back(t.order); });
-    REQUIRE(got == due);
-    fired += got.size();
+    const auto sorted = sorted_entries();
+    const std::int64_t expected_due = sorted.empty() ? io::TimerWheel<Entry>::kNone : sorted.front()->at;
+    REQUIRE(wheel->next_due() == expected_due);
+    REQUIRE(wheel->next_due_lower_bound() <= expected_due);
+    // Time advances in some steps: a little, exactly to the next timer, or far past many of them.
+    if (random_below(3) == 0)
+      now += static_cast<std::int64_t>(random_below(static_cast<std::uint64_t>(kSpans[random_below(4)])));
+    if (random_below(8) == 0 && !sorted.empty()) now = std::max(now, expected_due);
+    if (random_below(200) == 0) now += kSpans[4];
+    std::vector<std::uint64_t> due_orders, fired_orders;
+    for (const Entry* candidate : sorted)
+      if (candidate->at <= now) due_orders.push_back(candidate->order);
+    wheel->fire(now, [&](Entry& timer) { fired_orders.push_back(timer.order); });
+    REQUIRE(fired_orders == due_orders);
+    fired_count += fired_orders.size();
   }
-  CHECK(fired > 5'000);
+  CHECK(fired_count > 5'000);
 }
 
-TEST_CASE("a task that is not done in time is cancelled, frame and all") {
+TEST_CASE("a task that misses its deadline is cancelled and its frame destroyed") {
   io::Loop loop(io::Loop::Clock::simulated);
-  bool gone = false;
+  bool destroyed = false;
   std::optional<int> late, early;
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, bool& g, std::optional<int>& a, std::optional<int>& b) -> io::Task<> {
-    a = co_await io::with_deadline(l, l.now() + 10 * kMs, [](io::Loop& inner, bool& flag) -> io::Task<int> {
-      Gone tell{flag};
-      co_await inner.sleep_for(50 * kMs);
-      co_return 1;
-    }(l, g));
-    b = co_await io::with_deadline(l, l.now() + 10 * kMs, twice(l, 4));
-  }(loop, gone, late, early));
+  scope.spawn(
+      [](io::Loop& l, bool& flag, std::optional<int>& first, std::optional<int>& second) -> io::Task<> {
+        first = co_await io::with_deadline(l, l.now() + 10 * kMs,
+                                           [](io::Loop& inner, bool& inner_flag) -> io::Task<int> {
+                                             DestructionFlag guard{inner_flag};
+                                             co_await inner.sleep_for(50 * kMs);
+                                             co_return 1;
+                                           }(l, flag));
+        second = co_await io::with_deadline(l, l.now() + 10 * kMs, twice(l, 4));
+      }(loop, destroyed, late, early));
   loop.run_until([&] { return scope.empty(); });
   CHECK(!late);
-  CHECK(gone);
+  CHECK(destroyed);
   CHECK(early == 8);
 }
 
-TEST_CASE("cancellation reaches accept, read, write, connect, sleep, and a signal") {
+TEST_CASE(
+    "cancelling a scope destroys tasks that wait in accept, read, write, connect, sleep or on a signal") {
   io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   io::Listener full(loop, kAnyPort, 0);
-  io::Signal never(loop);
-  bool gone[6] = {};
+  io::Signal unnotified(loop);
+  bool destroyed[6] = {};
   io::Socket client, server, filler[3];
   {
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l, io::Listener& from, io::Socket& c, io::Socket& s) -> io::Task<> {
-      co_await io::connect(l, from.address(), c);
-      s = co_await from.accept();
-    }(loop, listener, client, server));
+    scope.spawn(
+        [](io::Loop& l, io::Listener& from, io::Socket& connected, io::Socket& accepted) -> io::Task<> {
+          co_await io::connect(l, from.address(), connected);
+          accepted = co_await from.accept();
+        }(loop, listener, client, server));
     loop.run_until([&] { return scope.empty(); });
     for (io::Socket& f : filler)
       scope.spawn([](io::Loop& l, io::Address a, io::Socket& to) -> io::Task<> {
         co_await io::connect(l, a, to);
       }(loop, full.address(), f));
-    scope.spawn([](io::Listener& l, bool& g) -> io::Task<> {
-      Gone tell{g};
+    scope.spawn([](io::Listener& l, bool& flag) -> io::Task<> {
+      DestructionFlag guard{flag};
       co_await l.accept();
-    }(listener, gone[0]));
-    scope.spawn([](io::Socket& s, bool& g) -> io::Task<> {
-      Gone tell{g};
-      std::array<char, 8> some;
-      co_await s.read_some(some);
-    }(client, gone[1]));
-    scope.spawn([](io::Socket& s, bool& g) -> io::Task<> {
-      Gone tell{g};
-      const std::string much(64 << 20, 'x');  // more than the kernel takes
-      co_await s.write_all(much);
-    }(server, gone[2]));
-    scope.spawn([](io::Loop& l, io::Address a, bool& g) -> io::Task<> {
-      Gone tell{g};
+    }(listener, destroyed[0]));
+    scope.spawn([](io::Socket& s, bool& flag) -> io::Task<> {
+      DestructionFlag guard{flag};
+      std::array<char, 8> buffer;
+      co_await s.read_some(buffer);
+    }(client, destroyed[1]));
+    scope.spawn([](io::Socket& s, bool& flag) -> io::Task<> {
+      DestructionFlag guard{flag};
+      const std::string data(64 << 20, 'x');  // more than the kernel buffers
+      co_await s.write_all(data);
+    }(server, destroyed[2]));
+    scope.spawn([](io::Loop& l, io::Address a, bool& flag) -> io::Task<> {
+      DestructionFlag guard{flag};
       io::Socket s;
       co_await l.sleep_for(kMs);
       co_await io::connect(l, a, s);
-    }(loop, full.address(), gone[3]));
-    scope.spawn([](io::Loop& l, bool& g) -> io::Task<> {
-      Gone tell{g};
+    }(loop, full.address(), destroyed[3]));
+    scope.spawn([](io::Loop& l, bool& flag) -> io::Task<> {
+      DestructionFlag guard{flag};
       co_await l.sleep_for(1000 * io::kSecond);
-    }(loop, gone[4]));
-    scope.spawn([](io::Signal& s, bool& g) -> io::Task<> {
-      Gone tell{g};
+    }(loop, destroyed[4]));
+    scope.spawn([](io::Signal& s, bool& flag) -> io::Task<> {
+      DestructionFlag guard{flag};
       co_await s.wait();
-    }(never, gone[5]));
-    bool over = false;
+    }(unnotified, destroyed[5]));
+    bool finished = false;
     io::Scope timer(loop);
-    timer.spawn([](io::Loop& l, bool& o) -> io::Task<> {
+    timer.spawn([](io::Loop& l, bool& done) -> io::Task<> {
       co_await l.sleep_for(10 * kMs);
-      o = true;
-    }(loop, over));
-    loop.run_until([&] { return over; });
-    // The reader was answered by the writer's first bytes; the others still wait.
-    CHECK(gone[1]);
-    for (const int i : {0, 2, 3, 4, 5}) CHECK(!gone[i]);
+      done = true;
+    }(loop, finished));
+    loop.run_until([&] { return finished; });
+    // The first bytes of the write completed the read; the other tasks still wait.
+    CHECK(destroyed[1]);
+    for (const int i : {0, 2, 3, 4, 5}) CHECK(!destroyed[i]);
   }
-  for (const bool g : gone) CHECK(g);
+  for (const bool flag : destroyed) CHECK(flag);
   CHECK(client.is_open());
 }
 
-TEST_CASE("closing a socket under a coroutine that waits on it wakes it with an error") {
+TEST_CASE("closing a socket wakes a coroutine that reads from it with EBADF") {
   io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
   io::Socket client;
   int error = 0;
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, io::Address a, io::Socket& to, int& e) -> io::Task<> {
-    co_await io::connect(l, a, to);
-    std::array<char, 8> some;
-    const io::IoResult m = co_await to.read_some(some);
-    e = m.error;
+  scope.spawn([](io::Loop& l, io::Address a, io::Socket& socket, int& read_error) -> io::Task<> {
+    co_await io::connect(l, a, socket);
+    std::array<char, 8> buffer;
+    const io::IoResult result = co_await socket.read_some(buffer);
+    read_error = result.error;
   }(loop, listener.address(), client, error));
   scope.spawn([](io::Loop& l, io::Socket& s) -> io::Task<> {
     co_await l.sleep_for(5 * kMs);
@@ -239,73 +255,74 @@
   CHECK(error == EBADF);
 }
 
-TEST_CASE("texts written together arrive whole and in order, though the reader is slow and the kernel full") {
+TEST_CASE(
+    "parts written together arrive completely and in order when the reader is slow and buffers are full") {
   io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
-  std::vector<std::string> texts;
-  std::string whole;
+  std::vector<std::string> parts;
+  std::string expected;
   for (int i = 0; i < 50; ++i)
-    texts.push_back(std::string(static_cast<std::size_t>(i * 4000), static_cast<char>('a' + i % 26)));
-  for (const std::string& t : texts) whole += t;
-  std::string got;
-  io::IoResult wrote;
+    parts.push_back(std::string(static_cast<std::size_t>(i * 4000), static_cast<char>('a' + i % 26)));
+  for (const std::string& part : parts) expected += part;
+  std::string received;
+  io::IoResult written;
   io::Scope scope(loop);
-  scope.spawn([](io::Listener& l, const std::vector<std::string>& all, io::IoResult& to) -> io::Task<> {
+  scope.spawn([](io::Listener& l, const std::vector<std::string>& texts, io::IoResult& result) -> io::Task<> {
     io::Socket socket = co_await l.accept();
-    const std::vector<std::string_view> parts(all.begin(), all.end());
-    to = co_await socket.write_all(parts);
-  }(listener, texts, wrote));
-  scope.spawn([](io::Loop& l, io::Address to, std::string& all) -> io::Task<> {
+    const std::vector<std::string_view> views(texts.begin(), texts.end());
+    result = co_await socket.write_all(views);
+  }(listener, parts, written));
+  scope.spawn([](io::Loop& l, io::Address to, std::string& data) -> io::Task<> {
     io::Socket socket;
     co_await io::connect(l, to, socket);
     std::vector<char> buffer(30'000);
     for (;;) {
       co_await l.sleep_for(kMs);
-      const io::IoResult moved = co_await socket.read_some(buffer);
-      if (!moved.ok() || moved.bytes == 0) break;
-      all.append(buffer.data(), moved.bytes);
+      const io::IoResult result = co_await socket.read_some(buffer);
+      if (!result.ok() || result.bytes == 0) break;
+      data.append(buffer.data(), result.bytes);
     }
-  }(loop, listener.address(), got));
+  }(loop, listener.address(), received));
   loop.run_until([&] { return scope.empty(); });
-  CHECK(wrote.ok());
-  CHECK(wrote.bytes == whole.size());
-  CHECK(got == whole);
+  CHECK(written.ok());
+  CHECK(written.bytes == expected.size());
+  CHECK(received == expected);
 }
 
-TEST_CASE("a request that came while the one before it was answered is read after it") {
+TEST_CASE("a request that arrives while the previous one is handled is served after it") {
   io::Loop loop(io::Loop::Clock::simulated);
   std::string targets;
   http::Server server(
-      loop, kAnyPort, [&](http::Request& request, http::ResponseWriter& answer) -> io::Task<> {
+      loop, kAnyPort, [&](http::Request& request, http::ResponseWriter& response) -> io::Task<> {
         io::Scope watch(loop);
         watch.spawn(
-            [](http::ResponseWriter& a) -> io::Task<> { co_await a.wait_for_client_close(); }(answer));
+            [](http::ResponseWriter& a) -> io::Task<> { co_await a.wait_for_client_close(); }(response));
         const std::string target(request.head.target);
-        co_await loop.sleep_for(20 * kMs);  // the next request comes meanwhile, and is seen by the watch
+        co_await loop.sleep_for(20 * kMs);  // meanwhile the next request arrives, and the watch sees its data
         watch.cancel();
         targets += target + " " + request.body + ";";
-        co_await answer.respond(200, "", "");
+        co_await response.respond(200, "", "");
       });
-  std::size_t answers = 0;
+  std::size_t responses = 0;
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, io::Address to, std::size_t& n) -> io::Task<> {
+  scope.spawn([](io::Loop& l, io::Address address, std::size_t& count) -> io::Task<> {
     io::Socket socket;
-    co_await io::connect(l, to, socket);
+    co_await io::connect(l, address, socket);
     for (const char* target : {"/one", "/two", "/three"}) {
       co_await socket.write_all(http::format_request("POST", target, "h", "", "b"));
       co_await l.sleep_for(5 * kMs);
     }
     http::MessageReader reader(socket, http::MessageKind::response);
     http::Head head;
-    for (int i = 0; i < 3; ++i) n += co_await reader.read_head(head) == http::MessageError::none;
-  }(loop, server.address(), answers));
+    for (int i = 0; i < 3; ++i) count += co_await reader.read_head(head) == http::MessageError::none;
+  }(loop, server.address(), responses));
   loop.run_until([&] { return scope.empty(); });
-  CHECK(answers == 3);
+  CHECK(responses == 3);
   CHECK(targets == "/one b;/two b;/three b;");
 }
 
-// Guards against heads of which only the last piece is remembered.
-TEST_CASE("messages are read the same in whatever pieces they come") {
+// Guards against losing the earlier fields of a head that arrives in several pieces.
+TEST_CASE("messages are parsed the same however they are split into pieces") {
   const std::string request =
       "POST /v1/chat?x=1 HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b1f\r\nX-Empty:\r\nContent-Length: "
       "5\r\n\r\nhello";
@@ -322,139 +339,141 @@
        "POST /v1/chat?x=1 0 host=h x-call-id=9b1f x-empty= content-length=5 | hello"},
       {http::MessageKind::response, chunked, "  202 x-load-report=a=1 transfer-encoding=chunked | hello"},
   };
-  // One connection for each: the text is cut into pieces of that size, the first of them so much shorter.
-  const auto read = [](const Case& c, std::size_t size, std::size_t shorter) {
+  // Sends the text in pieces of the given size, of which the first is shorter, and returns what was read.
+  const auto read = [](const Case& test, std::size_t size, std::size_t shorter) {
     io::Loop loop(io::Loop::Clock::simulated);
     io::Listener listener(loop, kAnyPort);
-    std::string got;
+    std::string parsed;
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l, io::Address at, std::string_view text, std::size_t each,
-                   std::size_t less) -> io::Task<> {
+    scope.spawn([](io::Loop& l, io::Address at, std::string_view text, std::size_t piece_size,
+                   std::size_t shorter_by) -> io::Task<> {
       io::Socket socket;
       co_await io::connect(l, at, socket);
-      // Twice: what is left of a message must not get into the next.
+      // Twice: nothing of a message may get into the next one.
       for (int i = 0; i < 2; ++i)
-        for (std::size_t from = 0, to = each - less; from < text.size(); from = to, to += each) {
+        for (std::size_t from = 0, to = piece_size - shorter_by; from < text.size();
+             from = to, to += piece_size) {
           co_await socket.write_all(text.substr(from, to - from));
           co_await l.sleep_for(kMs);
         }
-    }(loop, listener.address(), c.text, size, shorter));
-    scope.spawn([](io::Listener& from, http::MessageKind kind, std::string& to) -> io::Task<> {
+    }(loop, listener.address(), test.text, size, shorter));
+    scope.spawn([](io::Listener& from, http::MessageKind kind, std::string& out) -> io::Task<> {
       io::Socket socket = co_await from.accept();
       http::MessageReader reader(socket, kind);
       for (int i = 0; i < 2; ++i) {
         http::Head head;
         std::string body;
-        if (const auto fault = co_await reader.read_head(head); fault != http::MessageError::none)
-          co_return void(to += http::to_string(fault));
-        to += std::string(head.method) + " " + std::string(head.target) + " " + std::to_string(head.status);
+        if (const auto error = co_await reader.read_head(head); error != http::MessageError::none)
+          co_return void(out += http::to_string(error));
+        out += std::string(head.method) + " " + std::string(head.target) + " " + std::to_string(head.status);
         co_await reader.read_body(body);
-        for (const auto& [name, value] : head.fields) to.append(" ").append(name).append("=").append(value);
-        to += " | " + body + "\n";
+        for (const auto& [name, value] : head.fields) out.append(" ").append(name).append("=").append(value);
+        out += " | " + body + "\n";
       }
-    }(listener, c.kind, got));
+    }(listener, test.kind, parsed));
     loop.run_until([&] { return scope.empty(); });
-    return got;
+    return parsed;
   };
-  for (const Case& c : cases) {
-    const std::string twice = std::string(c.expected) + "\n" + c.expected + "\n";
-    for (std::size_t size = 1; size <= c.text.size(); ++size) {
+  for (const Case& test : cases) {
+    const std::string expected = std::string(test.expected) + "\n" + test.expected + "\n";
+    for (std::size_t size = 1; size <= test.text.size(); ++size) {
       CAPTURE(size);
-      REQUIRE(read(c, size, 0) == twice);
-      REQUIRE(read(c, size, size / 2) == twice);
+      REQUIRE(read(test, size, 0) == expected);
+      REQUIRE(read(test, size, size / 2) == expected);
     }
   }
 }
 
-TEST_CASE("a stream may be of any length; what is kept whole is bounded") {
+TEST_CASE("a streamed response may have any length; one that is read into a string is limited") {
   io::Loop loop(io::Loop::Clock::simulated);
-  constexpr std::size_t kParts = 300, kPart = 40'000;
-  http::Server server(loop, kAnyPort, [&](http::Request&, http::ResponseWriter& answer) -> io::Task<> {
-    const std::string part(kPart, 'x');
-    answer.begin_stream_deferred(200, "");
-    for (std::size_t i = 0; i < kParts; ++i)
-      if (!co_await answer.write_chunk(part)) co_return;
-    co_await answer.end_stream("last");
+  constexpr std::size_t kChunks = 300, kChunkBytes = 40'000;
+  http::Server server(loop, kAnyPort, [&](http::Request&, http::ResponseWriter& response) -> io::Task<> {
+    const std::string chunk(kChunkBytes, 'x');
+    response.begin_stream_deferred(200, "");
+    for (std::size_t i = 0; i < kChunks; ++i)
+      if (!co_await response.write_chunk(chunk)) co_return;
+    co_await response.end_stream("last");
   });
   std::size_t streamed = 0;
-  http::MessageError ended{}, kept{};
+  http::MessageError stream_error{}, string_error{};
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, io::Address to, std::size_t& bytes, http::MessageError& one,
-                 http::MessageError& two) -> io::Task<> {
-    for (const bool whole : {false, true}) {
+  scope.spawn([](io::Loop& l, io::Address to, std::size_t& bytes, http::MessageError& stream_result,
+                 http::MessageError& string_result) -> io::Task<> {
+    for (const bool as_string : {false, true}) {
       io::Socket socket;
       co_await io::connect(l, to, socket);
       co_await socket.write_all(http::format_request("GET", "/", "h", "", ""));
       http::MessageReader reader(socket, http::MessageKind::response);
       http::Head head;
       co_await reader.read_head(head);
-      std::string all;
-      if (whole) {
-        two = co_await reader.read_body(all);
+      std::string body;
+      if (as_string) {
+        string_result = co_await reader.read_body(body);
         continue;
       }
-      while (reader.has_more() && one == http::MessageError::none) {
+      while (reader.has_more() && stream_result == http::MessageError::none) {
         std::span<const std::string_view> pieces;
-        one = co_await reader.read_body_pieces(pieces);
+        stream_result = co_await reader.read_body_pieces(pieces);
         for (const std::string_view piece : pieces) bytes += piece.size();
       }
     }
-  }(loop, server.address(), streamed, ended, kept));
+  }(loop, server.address(), streamed, stream_error, string_error));
   loop.run_until([&] { return scope.empty(); });
-  CHECK(ended == http::MessageError::none);
-  CHECK(streamed == kParts * kPart + 4);
-  CHECK(kept == http::MessageError::body_too_large);
+  CHECK(stream_error == http::MessageError::none);
+  CHECK(streamed == kChunks * kChunkBytes + 4);
+  CHECK(string_error == http::MessageError::body_too_large);
 }
 
-TEST_CASE("addresses are read whole or not at all") {
+TEST_CASE("a text that is not exactly an address and a port is not parsed as one") {
   CHECK(io::parse_address("127.0.0.1:80")->to_string() == "127.0.0.1:80");
   for (const char* bad : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:80x", "127.0.0.1:70000",
                           "host:80", "1.2.3:4"})
     CHECK(!io::parse_address(bad));
 }
 
-TEST_CASE("events are cut out of a body however it is split") {
+TEST_CASE("server-sent events are parsed the same however the body is split") {
   const std::string body =
       ": a remark\ndata: one\n\ndata:two\r\n\r\nevent: x\ndata: a\ndata: b\n\n\ndata: cut";
   for (std::size_t step = 1; step < body.size(); ++step) {
-    http::SseParser events;
-    std::string got;
+    http::SseParser parser;
+    std::string events;
     for (std::size_t i = 0; i < body.size(); i += step) {
-      events.feed(std::string_view(body).substr(i, step));
-      while (const auto e = events.next()) got.append("[").append(*e).append("]");
+      parser.feed(std::string_view(body).substr(i, step));
+      while (const auto event = parser.next()) events.append("[").append(*event).append("]");
     }
-    CHECK(got == "[one][two][a\nb]");
-    CHECK(events.pending_bytes() > 0);
+    CHECK(events == "[one][two][a\nb]");
+    CHECK(parser.pending_bytes() > 0);
   }
 }
 
-TEST_CASE("kept connections are used again, stale ones made anew, and a full pool makes others wait") {
+TEST_CASE("idle connections are reused until they expire, and a request waits while its pool is full") {
   io::Loop loop(io::Loop::Clock::simulated);
   int served = 0;
-  http::Server server(loop, kAnyPort, [&](http::Request& rq, http::ResponseWriter& answer) -> io::Task<> {
-    ++served;
-    co_await loop.sleep_for(20 * kMs);
-    co_await answer.respond(200, "", rq.body);
-  });
+  http::Server server(loop, kAnyPort,
+                      [&](http::Request& request, http::ResponseWriter& response) -> io::Task<> {
+                        ++served;
+                        co_await loop.sleep_for(20 * kMs);
+                        co_await response.respond(200, "", request.body);
+                      });
   auto pool =
       std::make_shared<http::Pool>(loop, server.address(), http::PoolLimits{250 * kMs, io::kSecond, 8, 2});
   int ok = 0;
   io::Scope scope(loop);
-  const auto ask = [&] {
-    scope.spawn([](std::shared_ptr<http::Pool> p, int& n) -> io::Task<> {
+  const auto send = [&] {
+    scope.spawn([](std::shared_ptr<http::Pool> target, int& count) -> io::Task<> {
       const std::string text = http::format_request("POST", "/", "h", "", "hello");
-      const http::ExchangeResult e = co_await http::exchange(p, text);
-      n += e.ok() && e.body == "hello";
+      const http::ExchangeResult result = co_await http::exchange(target, text);
+      count += result.ok() && result.body == "hello";
     }(pool, ok));
   };
-  for (int i = 0; i < 6; ++i) ask();
+  for (int i = 0; i < 6; ++i) send();
   loop.run_until([&] { return scope.empty(); });
   CHECK(ok == 6);
   CHECK(pool->dial_count() == 2);
   scope.spawn([](io::Loop& l) -> io::Task<> { co_await l.sleep_for(2 * io::kSecond); }(loop));
   loop.run_until([&] { return scope.empty(); });
-  CHECK(pool->open_count() == 0);  // kept no longer than told
-  ask();
+  CHECK(pool->open_count() == 0);  // closed after the idle timeout
+  send();
   loop.run_until([&] { return scope.empty(); });
   CHECK(ok == 7);
   CHECK(pool->dial_count() == 3);
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -1,4 +1,4 @@
-// Connections to peers whose taking is cancelled, or whose pool goes first: none may be counted for good.
+// Tests of connection pools and their shared budget: limits, reserved connections, cancellation and lifetime.
 #include <doctest/doctest.h>
 
 #include "http/client.h"
@@ -8,77 +8,78 @@
 
 namespace {
 
-constexpr std::size_t kMost = 4;         // connections,
-constexpr std::size_t kForReleases = 1;  // of them never in use by ordinary work
+constexpr std::size_t kMaxOpen = 4;              // connections
+constexpr std::size_t kReservedForReleases = 1;  // of kMaxOpen
 
-http::PoolLimits bounds_with(std::shared_ptr<http::ConnectionBudget> budget) {
-  http::PoolLimits bounds;
-  bounds.budget = std::move(budget);
-  return bounds;
+http::PoolLimits limits_with(std::shared_ptr<http::ConnectionBudget> budget) {
+  http::PoolLimits limits;
+  limits.budget = std::move(budget);
+  return limits;
 }
 
-// Keeps what it takes until the end.
-struct Holder {
-  explicit Holder(io::Loop& loop) : scope(loop) {}
-  void take(std::shared_ptr<http::Pool> from, http::Priority priority, std::size_t times = 1) {
-    for (std::size_t i = 0; i < times; ++i)
-      scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority p, int& n) -> io::Task<> {
-        http::ConnectionLease lease(std::move(pool), http::Reuse::allowed, p);
+// Acquires connections and holds them until their peers close or the holder is destroyed.
+struct ConnectionHolder {
+  explicit ConnectionHolder(io::Loop& loop) : scope(loop) {}
+  void acquire(std::shared_ptr<http::Pool> from, http::Priority priority, std::size_t count = 1) {
+    for (std::size_t i = 0; i < count; ++i)
+      scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority use, int& total) -> io::Task<> {
+        http::ConnectionLease lease(std::move(pool), http::Reuse::allowed, use);
         if (!co_await lease.acquire()) co_return;
-        ++n;
+        ++total;
         co_await lease->socket.wait_for_peer_close();
-      }(from, priority, taken));
+      }(from, priority, acquired));
   }
-  int taken{};
+  int acquired{};
   io::Scope scope;
 };
 
-// Takes a connection and gives it back.
-bool takes(io::Loop& loop, std::shared_ptr<http::Pool> from, http::Priority priority,
-           http::Reuse reuse = http::Reuse::allowed) {
-  bool took = false;
+// Acquires a connection and returns it to the pool; false if none was available.
+bool can_acquire(io::Loop& loop, std::shared_ptr<http::Pool> from, http::Priority priority,
+                 http::Reuse reuse = http::Reuse::allowed) {
+  bool success = false;
   io::Scope scope(loop);
-  scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority p, http::Reuse r, bool& t) -> io::Task<> {
-    http::ConnectionLease lease(std::move(pool), r, p);
-    t = co_await lease.acquire();
-    if (t) lease.return_to_pool();
-  }(std::move(from), priority, reuse, took));
+  scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority use, http::Reuse allowed,
+                 bool& acquired) -> io::Task<> {
+    http::ConnectionLease lease(std::move(pool), allowed, use);
+    acquired = co_await lease.acquire();
+    if (acquired) lease.return_to_pool();
+  }(std::move(from), priority, reuse, success));
   loop.run_until([&] { return scope.empty(); });
-  return took;
+  return success;
 }
 
 }  // namespace
 
-TEST_CASE("a connection whose making is cancelled gives its room back") {
+TEST_CASE("a cancelled connection attempt is no longer counted against the limits") {
   io::Loop loop(io::Loop::Clock::simulated);
   HangingServer server;
   server.fill_accept_queue();
-  const auto budget = std::make_shared<http::ConnectionBudget>(kMost);
-  const auto pool = std::make_shared<http::Pool>(loop, server.address(), bounds_with(budget));
+  const auto budget = std::make_shared<http::ConnectionBudget>(kMaxOpen);
+  const auto pool = std::make_shared<http::Pool>(loop, server.address(), limits_with(budget));
   {
     io::Scope scope(loop);
-    for (std::size_t i = 0; i < kMost; ++i)
-      scope.spawn([](std::shared_ptr<http::Pool> of) -> io::Task<> {
-        http::ConnectionLease lease(of);
+    for (std::size_t i = 0; i < kMaxOpen; ++i)
+      scope.spawn([](std::shared_ptr<http::Pool> target) -> io::Task<> {
+        http::ConnectionLease lease(target);
         co_await lease.acquire();
       }(pool));
     run_for(loop, 10);
-    CHECK(budget->open_count() == kMost);
+    CHECK(budget->open_count() == kMaxOpen);
   }
   CHECK(pool->open_count() == 0);
   CHECK(budget->open_count() == 0);
 }
 
 TEST_CASE(
-    "a pool that its owner drops while a lease is out lasts until that ends, and its room is free then") {
+    "a pool released by its owner lives until its last lease ends, and then frees its part of the budget") {
   io::Loop loop(io::Loop::Clock::simulated);
   RawServer server;
-  const auto budget = std::make_shared<http::ConnectionBudget>(kMost);
-  auto pool = std::make_shared<http::Pool>(loop, server.address(), bounds_with(budget));
+  const auto budget = std::make_shared<http::ConnectionBudget>(kMaxOpen);
+  auto pool = std::make_shared<http::Pool>(loop, server.address(), limits_with(budget));
   {
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l, std::shared_ptr<http::Pool> of) -> io::Task<> {
-      http::ConnectionLease lease(std::move(of));
+    scope.spawn([](io::Loop& l, std::shared_ptr<http::Pool> target) -> io::Task<> {
+      http::ConnectionLease lease(std::move(target));
       CHECK(co_await lease.acquire());
       co_await l.sleep_for(io::kSecond);
       lease.return_to_pool();
@@ -90,89 +91,91 @@
   }
 }
 
-// Guards against a release that finds no connection while attempts are stuck on silent links.
+// Guards against a release that gets no connection while attempts wait on unresponsive links.
 TEST_CASE(
-    "ordinary work that holds all it gets of a budget leaves room for a release, and none beyond the "
-    "budget") {
+    "ordinary work at its limit of a shared budget leaves the reserved connections to releases, and no "
+    "more") {
   io::Loop loop(io::Loop::Clock::simulated);
-  RawServer silent, reachable;
-  const auto budget = std::make_shared<http::ConnectionBudget>(kMost, kForReleases);
-  const auto stuck = std::make_shared<http::Pool>(loop, silent.address(), bounds_with(budget));
-  const auto other = std::make_shared<http::Pool>(loop, reachable.address(), bounds_with(budget));
-  Holder attempts(loop), releases(loop);
-  attempts.take(stuck, http::Priority::ordinary, 2 * kMost);
+  RawServer unresponsive, reachable;
+  const auto budget = std::make_shared<http::ConnectionBudget>(kMaxOpen, kReservedForReleases);
+  const auto unresponsive_pool =
+      std::make_shared<http::Pool>(loop, unresponsive.address(), limits_with(budget));
+  const auto reachable_pool = std::make_shared<http::Pool>(loop, reachable.address(), limits_with(budget));
+  ConnectionHolder attempts(loop), releases(loop);
+  attempts.acquire(unresponsive_pool, http::Priority::ordinary, 2 * kMaxOpen);
   run_for(loop, 300);
-  CHECK(attempts.taken == kMost - kForReleases);
-  CHECK(takes(loop, other, http::Priority::release));
-  // What a release gave back is not taken by an attempt, which would use up the room of the next one.
-  attempts.take(other, http::Priority::ordinary, kMost);
+  CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
+  CHECK(can_acquire(loop, reachable_pool, http::Priority::release));
+  // An attempt does not get the connection that a release returned: it is reserved for the next release.
+  attempts.acquire(reachable_pool, http::Priority::ordinary, kMaxOpen);
   run_for(loop, 300);
-  CHECK(attempts.taken == kMost - kForReleases);
-  releases.take(other, http::Priority::release, 2 * kMost);
+  CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
+  releases.acquire(reachable_pool, http::Priority::release, 2 * kMaxOpen);
   run_for(loop, 300);
-  CHECK(releases.taken == kForReleases);
-  CHECK(budget->open_count() == kMost);
+  CHECK(releases.acquired == kReservedForReleases);
+  CHECK(budget->open_count() == kMaxOpen);
 }
 
-TEST_CASE(
-    "ordinary work that holds all it gets of one peer's bound leaves room for a release, and none beyond "
-    "it") {
+TEST_CASE("ordinary work at its limit of one pool leaves the reserved connections to releases, and no more") {
   io::Loop loop(io::Loop::Clock::simulated);
   RawServer server;
-  http::PoolLimits bounds;
-  bounds.max_open = kMost, bounds.reserved_for_releases = kForReleases;
-  const auto pool = std::make_shared<http::Pool>(loop, server.address(), bounds);
-  Holder attempts(loop), releases(loop);
-  attempts.take(pool, http::Priority::ordinary, 2 * kMost);
+  http::PoolLimits limits;
+  limits.max_open = kMaxOpen;
+  limits.reserved_for_releases = kReservedForReleases;
+  const auto pool = std::make_shared<http::Pool>(loop, server.address(), limits);
+  ConnectionHolder attempts(loop), releases(loop);
+  attempts.acquire(pool, http::Priority::ordinary, 2 * kMaxOpen);
   run_for(loop, 300);
-  CHECK(attempts.taken == kMost - kForReleases);
-  CHECK(takes(loop, pool, http::Priority::release));
-  attempts.take(pool, http::Priority::ordinary, kMost);
+  CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
+  CHECK(can_acquire(loop, pool, http::Priority::release));
+  attempts.acquire(pool, http::Priority::ordinary, kMaxOpen);
   run_for(loop, 300);
-  CHECK(attempts.taken == kMost - kForReleases);
-  releases.take(pool, http::Priority::release, 2 * kMost);
+  CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
+  releases.acquire(pool, http::Priority::release, 2 * kMaxOpen);
   run_for(loop, 300);
-  CHECK(releases.taken == kForReleases);
-  CHECK(pool->open_count() == kMost);
+  CHECK(releases.acquired == kReservedForReleases);
+  CHECK(pool->open_count() == kMaxOpen);
 }
 
-// Guards against releases to silent peers that leave no connection to the one in reach.
-TEST_CASE(
-    "a release that finds no room takes the place of the one that has stood longest, not of a fresh one") {
+// Guards against releases to unresponsive peers that use up the connections for reachable ones.
+TEST_CASE("a release at the limit preempts the oldest release, but not one that has just started") {
   io::Loop loop(io::Loop::Clock::simulated);
-  RawServer silent, reachable;
-  const auto budget = std::make_shared<http::ConnectionBudget>(kMost, kForReleases);
-  const auto stuck = std::make_shared<http::Pool>(loop, silent.address(), bounds_with(budget));
-  const auto other = std::make_shared<http::Pool>(loop, reachable.address(), bounds_with(budget));
-  Holder attempts(loop), releases(loop);
-  attempts.take(stuck, http::Priority::ordinary, kMost - kForReleases);
-  releases.take(stuck, http::Priority::release, kForReleases);
+  RawServer unresponsive, reachable;
+  const auto budget = std::make_shared<http::ConnectionBudget>(kMaxOpen, kReservedForReleases);
+  const auto unresponsive_pool =
+      std::make_shared<http::Pool>(loop, unresponsive.address(), limits_with(budget));
+  const auto reachable_pool = std::make_shared<http::Pool>(loop, reachable.address(), limits_with(budget));
+  ConnectionHolder attempts(loop), releases(loop);
+  attempts.acquire(unresponsive_pool, http::Priority::ordinary, kMaxOpen - kReservedForReleases);
+  releases.acquire(unresponsive_pool, http::Priority::release, kReservedForReleases);
   run_for(loop, 5);
-  CHECK(releases.taken == kForReleases);
-  CHECK(!takes(loop, other, http::Priority::release));
+  CHECK(releases.acquired == kReservedForReleases);
+  CHECK(!can_acquire(loop, reachable_pool, http::Priority::release));
   run_for(loop, 50);
-  CHECK(takes(loop, other, http::Priority::release));
-  CHECK(attempts.taken == kMost - kForReleases);
-  CHECK(stuck->open_count() == kMost - kForReleases);
-  CHECK(budget->open_count() == kMost);
-  attempts.scope.cancel(), releases.scope.cancel();
-  CHECK(stuck->open_count() == 0);
-  CHECK(budget->open_count() == other->open_count());
+  CHECK(can_acquire(loop, reachable_pool, http::Priority::release));
+  CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
+  CHECK(unresponsive_pool->open_count() == kMaxOpen - kReservedForReleases);
+  CHECK(budget->open_count() == kMaxOpen);
+  attempts.scope.cancel();
+  releases.scope.cancel();
+  CHECK(unresponsive_pool->open_count() == 0);
+  CHECK(budget->open_count() == reachable_pool->open_count());
 }
 
-// Guards against a release that waits while idle connections fill its peer's bound.
-TEST_CASE("a release takes the place of a kept connection that it cannot use") {
+// Guards against a release that waits while idle connections fill its pool.
+TEST_CASE("a release at the limit replaces an idle connection that it cannot reuse") {
   io::Loop loop(io::Loop::Clock::simulated);
   RawServer server;
-  http::PoolLimits bounds;
-  bounds.max_open = 1, bounds.min_idle_before_reuse = io::kSecond;
-  const auto pool = std::make_shared<http::Pool>(loop, server.address(), bounds);
-  CHECK(takes(loop, pool, http::Priority::ordinary));
+  http::PoolLimits limits;
+  limits.max_open = 1;
+  limits.min_idle_before_reuse = io::kSecond;
+  const auto pool = std::make_shared<http::Pool>(loop, server.address(), limits);
+  CHECK(can_acquire(loop, pool, http::Priority::ordinary));
   for (const http::Reuse reuse : {http::Reuse::allowed, http::Reuse::never}) {
     CHECK(pool->idle_count() == 1);
-    const io::Nanos began = loop.now();
-    CHECK(takes(loop, pool, http::Priority::release, reuse));
-    CHECK(loop.now() - began < io::kMs);
+    const io::Nanos start = loop.now();
+    CHECK(can_acquire(loop, pool, http::Priority::release, reuse));
+    CHECK(loop.now() - start < io::kMs);
     CHECK(pool->open_count() == 1);
   }
 }
