--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,4 +1,4 @@
-// What the whole-path tests share, whichever protocol they speak: a port to be given, time to pass, chunks.
+// Helpers of tests that use loopback connections: an ephemeral port, simulated time, chunked bodies.
 #pragma once
 
 #include <string>
@@ -8,17 +8,18 @@
 
 namespace cressrill::testing {
 
+// Port 0: the system chooses a free port.
 inline const io::Address kAnyPort{127u << 24 | 1, 0};
 
-// Runs all that happens in so many milliseconds.
+// Runs the loop for that many milliseconds of its clock.
 inline void run_for(io::Loop& loop, std::int64_t ms) {
-  bool over = false;
+  bool finished = false;
   io::Scope timer(loop);
-  timer.spawn([](io::Loop& l, io::Nanos until, bool& o) -> io::Task<> {
+  timer.spawn([](io::Loop& l, io::Nanos until, bool& done) -> io::Task<> {
     co_await l.sleep_until(until);
-    o = true;
-  }(loop, loop.now() + ms * io::kMs, over));
-  loop.run_until([&] { return over; });
+    done = true;
+  }(loop, loop.now() + ms * io::kMs, finished));
+  loop.run_until([&] { return finished; });
 }
 
 inline void append_chunk(std::string& to, std::string_view data) {
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -1,5 +1,6 @@
-// Connections on plain non-blocking sockets, outside the scheduler: each step happens exactly where the test calls it,
-// between two stretches of handed time, so that a test can force the order in which bytes and ends cross.
+// Connections on plain non-blocking sockets, outside the event loop: each step happens exactly where the test
+// calls it, between two calls of run_for(), so that a test controls the order in which data and connection
+// ends cross.
 #pragma once
 
 #include <arpa/inet.h>
@@ -27,7 +28,7 @@
   return out;
 }
 
-// Whether that is one answer with status 200 and a stream that came to its last chunk.
+// Whether text is one response with status 200 and a complete chunked body.
 inline bool is_complete_stream(std::string_view text) {
   return text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n");
 }
@@ -42,36 +43,37 @@
   RawConnection(const RawConnection&) = delete;
   RawConnection& operator=(const RawConnection&) = delete;
 
-  // How much of it the kernel took.
+  // Returns how many bytes the kernel accepted.
   std::size_t write(std::string_view text) {
     const ssize_t n = ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL);
     return n < 0 ? 0 : static_cast<std::size_t>(n);
   }
-  // Takes what has come, at most so many bytes, and keeps it in text().
-  void read(std::size_t most = SIZE_MAX) {
+  // Reads the received data, at most max_bytes, and appends it to text().
+  void read(std::size_t max_bytes = SIZE_MAX) {
     std::array<char, 16 * 1024> buffer;
-    while (most > 0) {
-      const ssize_t n = ::recv(descriptor_, buffer.data(), std::min(buffer.size(), most), 0);
+    while (max_bytes > 0) {
+      const ssize_t n = ::recv(descriptor_, buffer.data(), std::min(buffer.size(), max_bytes), 0);
       if (n < 0 && errno == EINTR) continue;
       if (n == 0) ended_ = true;
       if (n < 0 && errno != EAGAIN) reset_ = true;
       if (n <= 0) return;
       text_.append(buffer.data(), static_cast<std::size_t>(n));
-      most -= static_cast<std::size_t>(n);
+      max_bytes -= static_cast<std::size_t>(n);
     }
   }
   const std::string& text() const { return text_; }
   void clear_text() { text_.clear(); }
-  // The peer has ended its sending in order, or broken the connection; told by read().
+  // Whether a read() has found that the peer sent a FIN (ended) or broke the connection (reset).
   bool ended() const { return ended_; }
   bool reset() const { return reset_; }
-  // Ends its own sending; what the peer sends can still be read.
+  // Sends a FIN; data from the peer can still be read.
   void shutdown_write() { ::shutdown(descriptor_, SHUT_WR); }
-  void close(bool hard = false) {
+  // with_reset: sends an RST instead of a FIN.
+  void close(bool with_reset = false) {
     if (descriptor_ < 0) return;
-    if (hard) {
-      const linger now{1, 0};
-      ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    if (with_reset) {
+      const linger send_reset{1, 0};
+      ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &send_reset, sizeof send_reset);
     }
     ::close(descriptor_);
     descriptor_ = -1;
@@ -86,7 +88,7 @@
 
 class RawClient final : public RawConnection {
  public:
-  // receive_buffer: bytes that the kernel holds for it, 0 for the usual.
+  // receive_buffer: size of the kernel's receive buffer in bytes, 0 for the default.
   explicit RawClient(const io::Address& server, int receive_buffer = 0)
       : RawConnection(connected(server, receive_buffer)) {}
 
@@ -96,8 +98,8 @@
     if (receive_buffer > 0)
       ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     const sockaddr_in target = to_sockaddr(server);
-    const int made = ::connect(descriptor, reinterpret_cast<const sockaddr*>(&target), sizeof target);
-    CHECK(made == 0);
+    const int result = ::connect(descriptor, reinterpret_cast<const sockaddr*>(&target), sizeof target);
+    CHECK(result == 0);
     ::fcntl(descriptor, F_SETFL, ::fcntl(descriptor, F_GETFL) | O_NONBLOCK);
     return descriptor;
   }
