--- a/http/client.h
+++ b/http/client.h
@@ -207,7 +207,7 @@
   bool ok() const { return connected && error == MessageError::none; }
 };
 // Sends a formatted request and reads the response. still_wanted, if given, is called once a connection has
-// been acquired: if it returns false, nothing is sent.
+// been acquired: if it returns false, nothing is sent and the error is MessageError::closed.
 io::Task<ExchangeResult> exchange(std::shared_ptr<Pool> pool, std::string request,
                                   std::function<bool()> still_wanted = {}, Reuse reuse = Reuse::allowed,
                                   Priority priority = Priority::ordinary);
--- a/http/message.h
+++ b/http/message.h
@@ -141,8 +141,8 @@
     return !pending_.empty() && pending_.data() >= buffer_.data() &&
            pending_.data() < buffer_.data() + buffer_.size();
   }
-  std::string_view
-      pending_;  // input not parsed yet: part of the last feed() or, for a split event, of buffer_
+  // Input that is not parsed yet: part of the last feed() or, for a split event, of buffer_.
+  std::string_view pending_;
   std::string buffer_;
   std::string_view raw_event_;
   std::string last_comment_;
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 constexpr io::Nanos kTimeoutCheckInterval = 100 * io::kMs;
-constexpr io::Nanos kLingerTime =
-    io::kSecond;  // for a client to close after the response that ends its connection
+// Time for a client to close its connection after the last response on it.
+constexpr io::Nanos kLingerTime = io::kSecond;
 
 // Status of the response to a request that could not be read.
 int status_for(MessageError error) {
--- a/http/server.h
+++ b/http/server.h
@@ -68,7 +68,7 @@
   by_client,     // the client closed or broke it
   after_answer,  // closed after a response, at the client's request or because the server is draining
   refused,       // closed after a request that could not be read
-  idle,          // closed after the idle timeout, or because the server is draining
+  idle,          // closed while it carried no request: after a timeout, or because the server is draining
   evicted,       // closed to make room for another connection
   unanswered,    // closed after a request to which its handler gave no response: a defect
 };
--- a/io/loop.h
+++ b/io/loop.h
@@ -19,7 +19,7 @@
 
 namespace cressrill::io {
 
-using Nanos = std::int64_t;  // on one monotonic clock
+using Nanos = std::int64_t;  // nanoseconds: a duration, or a time on the clock of a Loop
 constexpr Nanos kMicrosecond = 1'000;
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1'000'000'000;
@@ -164,8 +164,8 @@
   std::uint64_t next_timer_order_{};
   static constexpr int kTransitPolls = 8;  // polls of 1 ms each after a write, with the simulated clock
   int transit_polls_left_{};
-  std::int64_t
-      bytes_in_transit_{};  // written less read: what is in the kernel, if both ends are on this loop
+  // Bytes written less bytes read: what is in the kernel, if both ends of all connections are on this loop.
+  std::int64_t bytes_in_transit_{};
   std::size_t registered_count_{};
   SystemCallCounts system_calls_;
   std::vector<std::pair<SystemCall, int>> reported_failures_;
