--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -22,7 +22,7 @@
   ~DestructionFlag() { destroyed = true; }
 };
 
-io::Task<int> twice(io::Loop& loop, int n) {
+io::Task<int> double_after_delay(io::Loop& loop, int n) {
   co_await loop.sleep_for(5 * kMs);
   co_return 2 * n;
 }
@@ -53,18 +53,18 @@
   io::Listener listener(loop, kAnyPort);
   io::Scope scope(loop);
   std::size_t received = 0;
-  scope.spawn([](io::Loop& l, io::Address to) -> io::Task<> {
+  scope.spawn([](io::Loop& event_loop, io::Address address) -> io::Task<> {
     io::Socket socket;
-    co_await io::connect(l, to, socket);
+    co_await io::connect(event_loop, address, socket);
     co_await socket.write_all(std::string(10'000, 'x'));
-    co_await l.sleep_for(5000 * kMs);
+    co_await event_loop.sleep_for(5000 * kMs);
   }(loop, listener.address()));
-  scope.spawn([](io::Loop& l, io::Listener& from, std::size_t& bytes) -> io::Task<> {
+  scope.spawn([](io::Loop& event_loop, io::Listener& from, std::size_t& bytes) -> io::Task<> {
     io::Socket socket = co_await from.accept();
     {
-      io::Scope watch(l);  // as the router does while it handles a request
+      io::Scope watch(event_loop);  // as the router does while it handles a request
       watch.spawn(socket.wait_for_peer_close());
-      co_await l.sleep_for(100 * kMs);
+      co_await event_loop.sleep_for(100 * kMs);
     }
     std::array<char, 1000> buffer;
     while (bytes < 10'000) bytes += (co_await socket.read_some(buffer)).bytes;
@@ -82,8 +82,8 @@
   {
     io::Scope scope(loop);
     const auto start_timer = [&](char name, int ms) {
-      scope.spawn([](io::Loop& l, std::string& fired, char id, int delay_ms) -> io::Task<> {
-        co_await l.sleep_for(delay_ms * kMs);
+      scope.spawn([](io::Loop& event_loop, std::string& fired, char id, int delay_ms) -> io::Task<> {
+        co_await event_loop.sleep_for(delay_ms * kMs);
         fired.push_back(id);
       }(loop, order, name, ms));
     };
@@ -156,16 +156,17 @@
   bool destroyed = false;
   std::optional<int> late, early;
   io::Scope scope(loop);
-  scope.spawn(
-      [](io::Loop& l, bool& flag, std::optional<int>& first, std::optional<int>& second) -> io::Task<> {
-        first = co_await io::with_deadline(l, l.now() + 10 * kMs,
-                                           [](io::Loop& inner, bool& inner_flag) -> io::Task<int> {
-                                             DestructionFlag guard{inner_flag};
-                                             co_await inner.sleep_for(50 * kMs);
-                                             co_return 1;
-                                           }(l, flag));
-        second = co_await io::with_deadline(l, l.now() + 10 * kMs, twice(l, 4));
-      }(loop, destroyed, late, early));
+  scope.spawn([](io::Loop& event_loop, bool& flag, std::optional<int>& first,
+                 std::optional<int>& second) -> io::Task<> {
+    first = co_await io::with_deadline(event_loop, event_loop.now() + 10 * kMs,
+                                       [](io::Loop& inner, bool& inner_flag) -> io::Task<int> {
+                                         DestructionFlag guard{inner_flag};
+                                         co_await inner.sleep_for(50 * kMs);
+                                         co_return 1;
+                                       }(event_loop, flag));
+    second = co_await io::with_deadline(event_loop, event_loop.now() + 10 * kMs,
+                                        double_after_delay(event_loop, 4));
+  }(loop, destroyed, late, early));
   loop.run_until([&] { return scope.empty(); });
   CHECK(!late);
   CHECK(destroyed);
@@ -182,48 +183,48 @@
   io::Socket client, server, filler[3];
   {
     io::Scope scope(loop);
-    scope.spawn(
-        [](io::Loop& l, io::Listener& from, io::Socket& connected, io::Socket& accepted) -> io::Task<> {
-          co_await io::connect(l, from.address(), connected);
-          accepted = co_await from.accept();
-        }(loop, listener, client, server));
+    scope.spawn([](io::Loop& event_loop, io::Listener& from, io::Socket& connected,
+                   io::Socket& accepted) -> io::Task<> {
+      co_await io::connect(event_loop, from.address(), connected);
+      accepted = co_await from.accept();
+    }(loop, listener, client, server));
     loop.run_until([&] { return scope.empty(); });
     for (io::Socket& f : filler)
-      scope.spawn([](io::Loop& l, io::Address a, io::Socket& to) -> io::Task<> {
-        co_await io::connect(l, a, to);
+      scope.spawn([](io::Loop& event_loop, io::Address address, io::Socket& to) -> io::Task<> {
+        co_await io::connect(event_loop, address, to);
       }(loop, full.address(), f));
-    scope.spawn([](io::Listener& l, bool& flag) -> io::Task<> {
+    scope.spawn([](io::Listener& listening, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
-      co_await l.accept();
+      co_await listening.accept();
     }(listener, destroyed[0]));
-    scope.spawn([](io::Socket& s, bool& flag) -> io::Task<> {
+    scope.spawn([](io::Socket& socket, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
       std::array<char, 8> buffer;
-      co_await s.read_some(buffer);
+      co_await socket.read_some(buffer);
     }(client, destroyed[1]));
-    scope.spawn([](io::Socket& s, bool& flag) -> io::Task<> {
+    scope.spawn([](io::Socket& socket, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
       const std::string data(64 << 20, 'x');  // more than the kernel buffers
-      co_await s.write_all(data);
+      co_await socket.write_all(data);
     }(server, destroyed[2]));
-    scope.spawn([](io::Loop& l, io::Address a, bool& flag) -> io::Task<> {
+    scope.spawn([](io::Loop& event_loop, io::Address address, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
-      io::Socket s;
-      co_await l.sleep_for(kMs);
-      co_await io::connect(l, a, s);
+      io::Socket socket;
+      co_await event_loop.sleep_for(kMs);
+      co_await io::connect(event_loop, address, socket);
     }(loop, full.address(), destroyed[3]));
-    scope.spawn([](io::Loop& l, bool& flag) -> io::Task<> {
+    scope.spawn([](io::Loop& event_loop, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
-      co_await l.sleep_for(1000 * io::kSecond);
+      co_await event_loop.sleep_for(1000 * io::kSecond);
     }(loop, destroyed[4]));
-    scope.spawn([](io::Signal& s, bool& flag) -> io::Task<> {
+    scope.spawn([](io::Signal& signal, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
-      co_await s.wait();
+      co_await signal.wait();
     }(unnotified, destroyed[5]));
     bool finished = false;
     io::Scope timer(loop);
-    timer.spawn([](io::Loop& l, bool& done) -> io::Task<> {
-      co_await l.sleep_for(10 * kMs);
+    timer.spawn([](io::Loop& event_loop, bool& done) -> io::Task<> {
+      co_await event_loop.sleep_for(10 * kMs);
       done = true;
     }(loop, finished));
     loop.run_until([&] { return finished; });
@@ -241,15 +242,16 @@
   io::Socket client;
   int error = 0;
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, io::Address a, io::Socket& socket, int& read_error) -> io::Task<> {
-    co_await io::connect(l, a, socket);
-    std::array<char, 8> buffer;
-    const io::IoResult result = co_await socket.read_some(buffer);
-    read_error = result.error;
-  }(loop, listener.address(), client, error));
-  scope.spawn([](io::Loop& l, io::Socket& s) -> io::Task<> {
-    co_await l.sleep_for(5 * kMs);
-    s.close();
+  scope.spawn(
+      [](io::Loop& event_loop, io::Address address, io::Socket& socket, int& read_error) -> io::Task<> {
+        co_await io::connect(event_loop, address, socket);
+        std::array<char, 8> buffer;
+        const io::IoResult result = co_await socket.read_some(buffer);
+        read_error = result.error;
+      }(loop, listener.address(), client, error));
+  scope.spawn([](io::Loop& event_loop, io::Socket& socket) -> io::Task<> {
+    co_await event_loop.sleep_for(5 * kMs);
+    socket.close();
   }(loop, client));
   loop.run_until([&] { return scope.empty(); });
   CHECK(error == EBADF);
@@ -267,17 +269,18 @@
   std::string received;
   io::IoResult written;
   io::Scope scope(loop);
-  scope.spawn([](io::Listener& l, const std::vector<std::string>& texts, io::IoResult& result) -> io::Task<> {
-    io::Socket socket = co_await l.accept();
-    const std::vector<std::string_view> views(texts.begin(), texts.end());
-    result = co_await socket.write_all(views);
-  }(listener, parts, written));
-  scope.spawn([](io::Loop& l, io::Address to, std::string& data) -> io::Task<> {
+  scope.spawn(
+      [](io::Listener& listening, const std::vector<std::string>& texts, io::IoResult& result) -> io::Task<> {
+        io::Socket socket = co_await listening.accept();
+        const std::vector<std::string_view> views(texts.begin(), texts.end());
+        result = co_await socket.write_all(views);
+      }(listener, parts, written));
+  scope.spawn([](io::Loop& event_loop, io::Address address, std::string& data) -> io::Task<> {
     io::Socket socket;
-    co_await io::connect(l, to, socket);
+    co_await io::connect(event_loop, address, socket);
     std::vector<char> buffer(30'000);
     for (;;) {
-      co_await l.sleep_for(kMs);
+      co_await event_loop.sleep_for(kMs);
       const io::IoResult result = co_await socket.read_some(buffer);
       if (!result.ok() || result.bytes == 0) break;
       data.append(buffer.data(), result.bytes);
@@ -305,12 +308,12 @@
       });
   std::size_t responses = 0;
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, io::Address address, std::size_t& count) -> io::Task<> {
+  scope.spawn([](io::Loop& event_loop, io::Address address, std::size_t& count) -> io::Task<> {
     io::Socket socket;
-    co_await io::connect(l, address, socket);
+    co_await io::connect(event_loop, address, socket);
     for (const char* target : {"/one", "/two", "/three"}) {
       co_await socket.write_all(http::format_request("POST", target, "h", "", "b"));
-      co_await l.sleep_for(5 * kMs);
+      co_await event_loop.sleep_for(5 * kMs);
     }
     http::MessageReader reader(socket, http::MessageKind::response);
     http::Head head;
@@ -345,16 +348,16 @@
     io::Listener listener(loop, kAnyPort);
     std::string parsed;
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l, io::Address at, std::string_view text, std::size_t piece_size,
+    scope.spawn([](io::Loop& event_loop, io::Address address, std::string_view text, std::size_t piece_size,
                    std::size_t shorter_by) -> io::Task<> {
       io::Socket socket;
-      co_await io::connect(l, at, socket);
+      co_await io::connect(event_loop, address, socket);
       // Twice: nothing of a message may get into the next one.
       for (int i = 0; i < 2; ++i)
         for (std::size_t from = 0, to = piece_size - shorter_by; from < text.size();
              from = to, to += piece_size) {
           co_await socket.write_all(text.substr(from, to - from));
-          co_await l.sleep_for(kMs);
+          co_await event_loop.sleep_for(kMs);
         }
     }(loop, listener.address(), test.text, size, shorter));
     scope.spawn([](io::Listener& from, http::MessageKind kind, std::string& out) -> io::Task<> {
@@ -397,11 +400,11 @@
   std::size_t streamed = 0;
   http::MessageError stream_error{}, string_error{};
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l, io::Address to, std::size_t& bytes, http::MessageError& stream_result,
-                 http::MessageError& string_result) -> io::Task<> {
+  scope.spawn([](io::Loop& event_loop, io::Address address, std::size_t& bytes,
+                 http::MessageError& stream_result, http::MessageError& string_result) -> io::Task<> {
     for (const bool as_string : {false, true}) {
       io::Socket socket;
-      co_await io::connect(l, to, socket);
+      co_await io::connect(event_loop, address, socket);
       co_await socket.write_all(http::format_request("GET", "/", "h", "", ""));
       http::MessageReader reader(socket, http::MessageKind::response);
       http::Head head;
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -15,8 +15,8 @@
 inline void run_for(io::Loop& loop, std::int64_t ms) {
   bool finished = false;
   io::Scope timer(loop);
-  timer.spawn([](io::Loop& l, io::Nanos until, bool& done) -> io::Task<> {
-    co_await l.sleep_until(until);
+  timer.spawn([](io::Loop& event_loop, io::Nanos until, bool& done) -> io::Task<> {
+    co_await event_loop.sleep_until(until);
     done = true;
   }(loop, loop.now() + ms * io::kMs, finished));
   loop.run_until([&] { return finished; });
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -78,10 +78,10 @@
   auto pool = std::make_shared<http::Pool>(loop, server.address(), limits_with(budget));
   {
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l, std::shared_ptr<http::Pool> target) -> io::Task<> {
+    scope.spawn([](io::Loop& event_loop, std::shared_ptr<http::Pool> target) -> io::Task<> {
       http::ConnectionLease lease(std::move(target));
       CHECK(co_await lease.acquire());
-      co_await l.sleep_for(io::kSecond);
+      co_await event_loop.sleep_for(io::kSecond);
       lease.return_to_pool();
     }(loop, std::exchange(pool, nullptr)));
     run_for(loop, 10);
--- a/tests/raw_server.h
+++ b/tests/raw_server.h
@@ -50,8 +50,8 @@
 template <class Condition>
 bool run_with_stopped_clock(io::Loop& loop, Condition condition) {
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& l) -> io::Task<> {
-    for (;;) co_await l.sleep_for(0);
+  scope.spawn([](io::Loop& event_loop) -> io::Task<> {
+    for (;;) co_await event_loop.sleep_for(0);
   }(loop));
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   loop.run_until([&] { return condition() || std::chrono::steady_clock::now() > deadline; });
