--- a/tests/kv_hold_monitor.h
+++ b/tests/kv_hold_monitor.h
@@ -1,73 +1,79 @@
-// For tests of what workers hold: how long it is held, and the settings and requests that such tests share.
+// Measures how long workers hold KV cache, with the settings, requests and checks that such tests share.
 #pragma once
 
 #include "platform_fixture.h"
 
 namespace cressrill::testing {
 
-constexpr io::Nanos kHoldLimitSlack = 300 * kMs;  // that the rule allows past the limit
+constexpr io::Nanos kHoldLimitSlack = 300 * kMs;  // tolerance past the KV hold limit
 
-// Notes for how long each request's KV cache is held at a worker.
+// Samples every 5 ms which requests' KV cache is held at a worker, and keeps the longest time.
 class KvHoldMonitor {
  public:
-  // Whether the time for which a decode attempt that has arrived waits for it counts as well.
+  // unattended: leaves out the time in which a decode attempt that has arrived waits for the KV cache.
   enum class Measure { total, unattended };
-  explicit KvHoldMonitor(PlatformFixture& site, Measure counts = Measure::total)
-      : site_(site), counts_(counts), scope_(site.loop) {
-    scope_.spawn(watch());
+  explicit KvHoldMonitor(PlatformFixture& fixture, Measure measure = Measure::total)
+      : fixture_(fixture), measure_(measure), scope_(fixture.loop) {
+    scope_.spawn(sample());
   }
-  io::Nanos longest_hold() const { return longest_; }
+  io::Nanos longest_hold() const { return longest_hold_; }
 
  private:
-  io::Task<> watch() {
+  io::Task<> sample() {
     for (;;) {
-      const io::Nanos now = site_.loop.now();
-      std::erase_if(since_, [&](const auto& entry) { return !site_.kv_entries.contains(entry.first); });
-      for (const auto& [id, worker] : site_.kv_entries) {
-        io::Nanos& since = since_.try_emplace(id, now).first->second;
-        if (counts_ == Measure::unattended && site_.kv_entries.awaited_by_decode.contains(id)) since = now;
-        longest_ = std::max(longest_, now - since);
+      const io::Nanos now = fixture_.loop.now();
+      std::erase_if(held_since_,
+                    [&](const auto& entry) { return !fixture_.kv_entries.contains(entry.first); });
+      for (const auto& [id, worker] : fixture_.kv_entries) {
+        io::Nanos& held_since = held_since_.try_emplace(id, now).first->second;
+        if (measure_ == Measure::unattended && fixture_.kv_entries.awaited_by_decode.contains(id))
+          held_since = now;
+        longest_hold_ = std::max(longest_hold_, now - held_since);
       }
-      co_await site_.loop.sleep_for(5 * kMs);
+      co_await fixture_.loop.sleep_for(5 * kMs);
     }
   }
-  PlatformFixture& site_;
-  const Measure counts_;
-  std::map<std::string, io::Nanos> since_;
-  io::Nanos longest_{};
+  PlatformFixture& fixture_;
+  const Measure measure_;
+  std::map<std::string, io::Nanos> held_since_;
+  io::Nanos longest_hold_{};
   io::Scope scope_;
 };
 
-inline json settings_with_hold_limit(int pin_limit_ms, bool parallel_tries = true, bool cancelling = true,
-                                     bool holds = false) {
+// test_settings() with these values in place of its own.
+inline json settings_with_hold_limit(int limit_ms, bool parallel = true, bool cancelling = true,
+                                     bool holds_allowed = false) {
   json out = test_settings();
-  out["familyInfo"]["pinLimitMs"] = pin_limit_ms;
-  out["familyInfo"]["holdsAllowed"] = holds;
-  out["caps"]["parallelTries"] = parallel_tries;
+  out["familyInfo"]["pinLimitMs"] = limit_ms;
+  out["familyInfo"]["holdsAllowed"] = holds_allowed;
+  out["caps"]["parallelTries"] = parallel;
   out["caps"]["cancelling"] = cancelling;
   return out;
 }
 
-// Connections to all workers are made and kept.
-inline void warm_up(PlatformFixture& s, int requests = 6) {
+// Sends requests so that the router has idle connections to all workers.
+inline void warm_up(PlatformFixture& fixture, int requests = 6) {
   for (int i = 0; i < requests; ++i)
-    s.send("warm" + std::to_string(i), PlatformFixture::request("w" + std::to_string(i)));
-  for (int i = 0; i < requests; ++i) REQUIRE(s.response("warm" + std::to_string(i)).status == 200);
-  s.run_for(100);
+    fixture.send("warm" + std::to_string(i), PlatformFixture::request("w" + std::to_string(i)));
+  for (int i = 0; i < requests; ++i) REQUIRE(fixture.response("warm" + std::to_string(i)).status == 200);
+  fixture.run_for(100);
 }
 
-// Sends so many requests, 20 ms apart.
-inline void send_requests(PlatformFixture& s, int requests, const std::string& budget, io::Nanos leave = 0) {
+// Sends that many requests, 20 ms apart, with a time budget in milliseconds; each client leaves after
+// `leave_after`, if that is not 0.
+inline void send_requests(PlatformFixture& fixture, int requests, const std::string& budget,
+                          io::Nanos leave_after = 0) {
   for (int i = 0; i < requests; ++i) {
-    s.send("a" + std::to_string(i),
-           PlatformFixture::request("a" + std::to_string(i), PlatformFixture::request_body(), budget), leave);
-    s.run_for(20);
+    fixture.send("a" + std::to_string(i),
+                 PlatformFixture::request("a" + std::to_string(i), PlatformFixture::request_body(), budget),
+                 leave_after);
+    fixture.run_for(20);
   }
 }
 
-inline void check_longest_hold(const KvHoldMonitor& watch, io::Nanos limit) {
-  CHECK_MESSAGE(watch.longest_hold() <= limit + kHoldLimitSlack,
-                "held for " << watch.longest_hold() / kMs << " ms");
+inline void check_longest_hold(const KvHoldMonitor& monitor, io::Nanos limit) {
+  CHECK_MESSAGE(monitor.longest_hold() <= limit + kHoldLimitSlack,
+                "held for " << monitor.longest_hold() / kMs << " ms");
 }
 
 }  // namespace cressrill::testing
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,5 +1,6 @@
-// The platform on loopback in one process and on handed time: scripted workers and discovery, one router started from
-// the text of a configuration, clients. All servers are stand-ins of ours, written from the protocol's description.
+// Test fixture for the platform protocol: one router node with fake workers, a fake discovery agent and
+// clients, all in one process, over loopback and on simulated time. The fakes are written from the
+// description of the protocol.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -18,58 +19,62 @@
 using io::kMs;
 using nlohmann::json;
 
-// What a worker does with a request, where it is not the usual.
+// How a fake worker answers one request, in place of its default response.
 struct ScriptedResponse {
-  // abandon: the attempt is over at the worker once it has sent its text, and its connection, which stays open, tells
-  // nothing of it; a later text was under way meanwhile.
+  // What the worker does after `response` is sent. hang: the attempt goes on and its connection stays open.
+  // end_silently: the attempt ends at the worker, yet its connection stays open, so the router does not
+  // notice; a `late_response` was already on its way by then.
   enum class Finish { keep_alive, close, reset, hang, end_silently };
-  std::string response;  // sent in place of an answer
+  std::string response;  // raw bytes
   Finish finish{Finish::keep_alive};
-  io::Nanos delay{};            // waits so long first
-  bool use_default{};           // after that wait, answers as usual
-  bool leaves_kv{};             // a state stays here before that
-  std::string late_response{};  // sent so long behind the text:
-  io::Nanos late_delay{50 * kMs};
-  bool takes_kv{};  // what is held for the request is taken before the text
-  // With Worker::whole_links: a prefill that is under way as the end of its connection arrives leaves a state all the same.
+  io::Nanos delay{};   // before the response
+  bool use_default{};  // default response after `delay`; beside it only leaves_kv_on_disconnect applies
+  bool leaves_kv{};    // stores the request's KV cache at this worker before the response
+  std::string late_response{};     // more raw bytes, sent `late_delay` after `response`
+  io::Nanos late_delay{50 * kMs};  // ignored while `late_response` is empty
+  bool takes_kv{};                 // fetches the request's KV cache before the response
+  // With FakeWorker::silent_both_ways: a prefill that is still running when the close of its connection
+  // arrives leaves its KV cache behind all the same.
   bool leaves_kv_on_disconnect{};
 };
 
-// A worker that says full to all that is sent, each time after 30 ms.
+// A worker that rejects its next 20 requests as overloaded, each after 30 ms.
 inline std::deque<ScriptedResponse> always_reject() {
   return std::deque<ScriptedResponse>(20, {http::format_response(503, "X-Rejected: 1\r\n", "", true),
                                            ScriptedResponse::Finish::keep_alive, 30 * kMs});
 }
 
-// States that readers hold, by the id of their request: who holds them. A release frees none that an attempt waits for, and
-// voids a read that is under way.
+// KV cache held by prefill workers: request id -> name of the worker. A release frees no entry that a decode
+// attempt is waiting for, and a prefill that is running when a release arrives leaves no entry.
 struct KvEntries : std::map<std::string, std::string> {
-  std::multiset<std::string> awaited_by_decode;
-  std::map<std::string, int> release_counts;
+  std::multiset<std::string> awaited_by_decode;  // request ids, once for each decode attempt
+  std::map<std::string, int> release_counts;     // releases that reached any worker, by request id
   struct AttemptStatus {
-    int active{};               // at running workers,
-    io::Nanos last_active{-1};  // and when one was last
-    bool end_not_heard{};       // a prefill has ended without an answer, on a connection that stays open
+    int active{};               // attempts that are active at running workers
+    io::Nanos last_active{-1};  // when an attempt last arrived at or ended at a worker
+    bool end_not_heard{};       // a prefill ended, its response was lost, and its connection stayed open
   };
   std::map<std::string, AttemptStatus> attempts;
-  std::function<void(const std::string&)> on_event;  // is told what workers see and do, a line each
+  std::function<void(const std::string&)> on_event;  // receives one line for each event at a worker
   void report(const std::string& line) const {
     if (on_event) on_event(line);
   }
 };
 
+// A scripted prefill or decode worker.
 class FakeWorker {
  public:
-  FakeWorker(io::Loop& loop, std::string its_name, bool is_reader, KvEntries& states)
-      : name(std::move(its_name)),
-        is_prefill(is_reader),
+  FakeWorker(io::Loop& loop, std::string worker_name, bool is_prefill_worker, KvEntries& kv_entries)
+      : name(std::move(worker_name)),
+        is_prefill(is_prefill_worker),
         loop_(loop),
-        states_(states),
+        kv_entries_(kv_entries),
         listener_(std::make_unique<io::Listener>(loop, kAnyPort)),
         address(listener_->address().to_string()),
         scope_(loop) {
     scope_.spawn(accept());
   }
+  // Resets all connections and refuses new ones.
   void crash() {
     scope_.cancel();
     listener_.reset();
@@ -78,29 +83,31 @@
 
   std::string name;
   bool is_prefill;
-  int stream_events{3};
-  std::deque<ScriptedResponse> script;
-  std::vector<std::string> request_log;     // a line for each request that came whole
-  std::vector<std::string> request_bodies;  // of those that are no release: body,
-  std::vector<std::string> request_fields;  // and fields, a line each
-  int open_requests{};  // requests that came and whose connection is neither answered nor ended
+  int stream_events{3};                     // in a default decode response, before its last event
+  std::deque<ScriptedResponse> script;      // for the next requests; the default response once it is empty
+  std::vector<std::string> request_log;     // one line for each complete request, releases included
+  std::vector<std::string> request_bodies;  // without releases
+  std::vector<std::string> request_fields;  // header fields, one a line; without releases
+  int open_requests{};                      // complete requests that are neither answered nor disconnected
   int accepted_connections{};
-  bool unresponsive{};  // what comes is taken, and nothing is done
-  bool ignores_releases{};
-  io::Nanos release_response_delay{};  // answers releases so much later
-  // A cut link keeps answers and ends of connections as well, and an attempt is over as the end of its connection arrives.
+  bool unresponsive{};      // reads requests and never acts on them
+  bool ignores_releases{};  // neither frees the KV cache nor answers
+  io::Nanos release_response_delay{};
+  // A silent link delays responses and connection closes as well as requests, and an attempt ends when the
+  // close of its connection reaches the worker. Otherwise a silent link delays requests alone.
   bool silent_both_ways{};
-  std::string responding_to;              // the request whose answer is written, as these are called:
-  std::function<void()> before_response;  // called as an answer, or its first part, is about to be written,
-  std::function<void()> after_response;   // and once it was, with no look at any socket between
-  // Links that pass nothing and stay open, while the worker runs on: all of them, or the first so many connections. What
-  // was written to them meanwhile arrives once they pass again.
+  std::string responding_to;              // request id, valid while before_response and after_response run
+  std::function<void()> before_response;  // called just before a response, or its first part, is written
+  std::function<void()> after_response;   // called right after that write, before any socket is polled again
+  // Links on which nothing arrives while their connections stay open and the worker keeps running: all links
+  // to this worker, or those of its first `silent_connections` connections. Buffered data arrives once the
+  // link recovers.
   bool link_silent{};
   int silent_connections{};
 
  private:
   io::Loop& loop_;
-  KvEntries& states_;
+  KvEntries& kv_entries_;
   std::unique_ptr<io::Listener> listener_;
 
  public:
@@ -109,83 +116,89 @@
  private:
   io::Task<> accept() {
     for (;;) {
-      io::Socket s = co_await listener_->accept();
+      io::Socket socket = co_await listener_->accept();
       ++accepted_connections;
-      scope_.spawn(serve(std::move(s), accepted_connections));
+      scope_.spawn(serve(std::move(socket), accepted_connections));
     }
   }
-  struct Open {  // counted until it is answered or its peer leaves
-    explicit Open(int& n) : count(n) { ++count; }
-    ~Open() { end(); }
+  // Counts a request in open_requests until it is answered or its peer disconnects.
+  struct OpenCount {
+    explicit OpenCount(int& n) : count(n) { ++count; }
+    ~OpenCount() { end(); }
     void end() {
       if (std::exchange(counted, false)) --count;
     }
     int& count;
     bool counted{true};
   };
-  struct Awaits {
-    Awaits(KvEntries& among, std::string its_id) : states(among), id(std::move(its_id)) {
-      if (!id.empty()) states.awaited_by_decode.insert(id);
+  // Marks a decode attempt as waiting for the KV cache of its request; no effect for an empty id.
+  struct KvWait {
+    KvWait(KvEntries& entries, std::string request_id) : kv_entries(entries), id(std::move(request_id)) {
+      if (!id.empty()) kv_entries.awaited_by_decode.insert(id);
     }
-    ~Awaits() { end(); }
+    ~KvWait() { end(); }
     void end() {
-      if (!id.empty()) states.awaited_by_decode.erase(states.awaited_by_decode.find(id));
+      if (!id.empty()) kv_entries.awaited_by_decode.erase(kv_entries.awaited_by_decode.find(id));
       id.clear();
     }
-    Awaits(const Awaits&) = delete;
-    Awaits& operator=(const Awaits&) = delete;
-    KvEntries& states;
+    KvWait(const KvWait&) = delete;
+    KvWait& operator=(const KvWait&) = delete;
+    KvEntries& kv_entries;
     std::string id;
   };
-  // An attempt that is out at this worker, until it has ended here.
-  struct Out {
-    Out(FakeWorker& at, std::string its_id) : worker(at), id(std::move(its_id)) {
-      note().active += 1;
-      worker.states_.report(fmt::format("{}: attempt of {} arrives", worker.name, id));
+  // Counts an attempt as active from its arrival at this worker until it ends here.
+  struct ActiveMark {
+    ActiveMark(FakeWorker& at, std::string request_id) : worker(at), id(std::move(request_id)) {
+      update_status().active += 1;
+      worker.kv_entries_.report(fmt::format("{}: attempt of {} arrives", worker.name, id));
     }
-    ~Out() { end(); }
+    ~ActiveMark() { end(); }
     void end() {
-      if (std::exchange(over, true)) return;
-      note().active -= 1;
-      worker.states_.report(fmt::format("{}: attempt of {} is over", worker.name, id));
+      if (std::exchange(ended, true)) return;
+      update_status().active -= 1;
+      worker.kv_entries_.report(fmt::format("{}: attempt of {} is over", worker.name, id));
     }
-    KvEntries::AttemptStatus& note() {
-      KvEntries::AttemptStatus& attempts = worker.states_.attempts[id];
-      attempts.last_active = worker.loop_.now();
-      return attempts;
+    KvEntries::AttemptStatus& update_status() {
+      KvEntries::AttemptStatus& status = worker.kv_entries_.attempts[id];
+      status.last_active = worker.loop_.now();
+      return status;
     }
-    Out(const Out&) = delete;
-    Out& operator=(const Out&) = delete;
+    ActiveMark(const ActiveMark&) = delete;
+    ActiveMark& operator=(const ActiveMark&) = delete;
     FakeWorker& worker;
     std::string id;
-    bool over{};
+    bool ended{};
   };
-  // One attempt, by what becomes of it here.
+  // One attempt at this worker.
   struct Attempt {
-    Open open;
-    Awaits awaits;
-    Out out;
-    int connection;
-    int releases;  // of its request, as it arrived
-    bool gone{};   // the end of its connection has arrived
-    void end() { awaits.end(), out.end(); }
+    OpenCount open_count;
+    KvWait kv_wait;
+    ActiveMark active_mark;
+    int connection;           // number of its connection, from 1
+    int releases_at_arrival;  // release count of its request when the attempt arrived
+    bool disconnected{};      // the close of its connection has arrived
+    void end() {
+      kv_wait.end();
+      active_mark.end();
+    }
   };
-  bool link_is_cut(int connection) const { return link_silent || connection <= silent_connections; }
-  io::Task<> link_passes(int connection) {
-    while (link_is_cut(connection)) co_await loop_.sleep_for(5 * kMs);
+  bool is_link_silent(int connection) const { return link_silent || connection <= silent_connections; }
+  io::Task<> wait_for_link(int connection) {
+    while (is_link_silent(connection)) co_await loop_.sleep_for(5 * kMs);
   }
-  io::Task<> watch_connection(io::Socket& s, Attempt& attempt, const ScriptedResponse& act) {
-    co_await s.wait_for_peer_close();
-    attempt.open.end();
+  io::Task<> watch_connection(io::Socket& socket, Attempt& attempt, const ScriptedResponse& scripted) {
+    co_await socket.wait_for_peer_close();
+    attempt.open_count.end();
     if (!silent_both_ways) co_return;
-    co_await link_passes(attempt.connection);
-    attempt.gone = true;
-    if (act.leaves_kv_on_disconnect && !attempt.out.over) leave_state(attempt.out.id, attempt.releases);
+    co_await wait_for_link(attempt.connection);
+    attempt.disconnected = true;
+    if (scripted.leaves_kv_on_disconnect && !attempt.active_mark.ended)
+      leave_kv(attempt.active_mark.id, attempt.releases_at_arrival);
     attempt.end();
   }
-  // number: which connection this is, from 1.
-  io::Task<> serve(io::Socket s, int number) {
-    http::MessageReader reader(s, http::MessageKind::request);
+  // Serves one connection; `connection` counts accepted connections from 1.
+  io::Task<> serve(io::Socket socket, int connection) {
+    http::MessageReader reader(socket, http::MessageKind::request);
     for (;;) {
       http::Head head;
       std::string body;
@@ -193,17 +206,17 @@
       if (co_await reader.read_body(body) != http::MessageError::none) co_return;
       const std::string target(head.target);
       if (unresponsive) co_await loop_.sleep_for(600 * io::kSecond);
-      co_await link_passes(number);
+      co_await wait_for_link(connection);
       if (head.method == "DELETE") {
         const std::string id = target.substr(target.rfind('/') + 1);
         if (ignores_releases) co_await loop_.sleep_for(600 * io::kSecond);
         request_log.push_back("DELETE " + id);
-        ++states_.release_counts[id];
-        states_.report(fmt::format("{}: release of {} arrives", name, id));
-        if (!states_.awaited_by_decode.contains(id)) states_.erase(id);
+        ++kv_entries_.release_counts[id];
+        kv_entries_.report(fmt::format("{}: release of {} arrives", name, id));
+        if (!kv_entries_.awaited_by_decode.contains(id)) kv_entries_.erase(id);
         if (release_response_delay > 0) co_await loop_.sleep_for(release_response_delay);
-        if (silent_both_ways) co_await link_passes(number);
-        co_await s.write_all("HTTP/1.1 204 No Content\r\n\r\n");
+        if (silent_both_ways) co_await wait_for_link(connection);
+        co_await socket.write_all("HTTP/1.1 204 No Content\r\n\r\n");
         continue;
       }
       const std::string id(head.field("x-call-id").value_or("none"));
@@ -212,97 +225,107 @@
       request_fields.emplace_back();
       for (const auto& [field, value] : head.fields)
         request_fields.back().append(field).append(": ").append(value).append("\n");
-      Attempt attempt{Open(open_requests), Awaits(states_, is_prefill ? "" : id), Out(*this, id), number,
-                      states_.release_counts[id]};
-      ScriptedResponse act{"", ScriptedResponse::Finish::keep_alive, 0, true};
-      if (!script.empty()) act = script.front(), script.pop_front();
-      io::Scope watch(loop_);
-      watch.spawn(watch_connection(s, attempt, act));
-      if (act.delay > 0) co_await loop_.sleep_for(act.delay);
-      if (attempt.gone) co_return;
-      if (act.use_default) {
+      Attempt attempt{OpenCount(open_requests), KvWait(kv_entries_, is_prefill ? "" : id),
+                      ActiveMark(*this, id), connection, kv_entries_.release_counts[id]};
+      ScriptedResponse scripted{"", ScriptedResponse::Finish::keep_alive, 0, true};
+      if (!script.empty()) {
+        scripted = script.front();
+        script.pop_front();
+      }
+      io::Scope connection_watch(loop_);
+      connection_watch.spawn(watch_connection(socket, attempt, scripted));
+      if (scripted.delay > 0) co_await loop_.sleep_for(scripted.delay);
+      if (attempt.disconnected) co_return;
+      if (scripted.use_default) {
         if (is_prefill)
-          co_await read(s, attempt);
+          co_await run_prefill(socket, attempt);
         else
-          co_await write(s, attempt);
+          co_await run_decode(socket, attempt);
         continue;
       }
-      if (act.leaves_kv) leave_state(id, attempt.releases);
-      if (act.leaves_kv && is_prefill) {
-        const bool no_answer = act.finish == ScriptedResponse::Finish::hang || !act.late_response.empty();
-        if (no_answer || link_is_cut(number)) attempt.out.note().end_not_heard = true;
-        attempt.out.end();
+      if (scripted.leaves_kv) leave_kv(id, attempt.releases_at_arrival);
+      if (scripted.leaves_kv && is_prefill) {
+        const bool response_lost =
+            scripted.finish == ScriptedResponse::Finish::hang || !scripted.late_response.empty();
+        if (response_lost || is_link_silent(connection))
+          attempt.active_mark.update_status().end_not_heard = true;
+        attempt.active_mark.end();
       }
-      if (act.takes_kv) take_state(id);
+      if (scripted.takes_kv) take_kv(id);
       if (silent_both_ways) {
-        if (act.finish != ScriptedResponse::Finish::hang) attempt.end();
-        co_await link_passes(number);
+        if (scripted.finish != ScriptedResponse::Finish::hang) attempt.end();
+        co_await wait_for_link(connection);
       }
-      about_to_answer(id);
-      co_await s.write_all(act.response);
+      begin_response(id);
+      co_await socket.write_all(scripted.response);
       if (after_response) after_response();
-      if (act.finish == ScriptedResponse::Finish::end_silently) attempt.end(), attempt.open.end();
-      if (!act.late_response.empty()) {
-        co_await loop_.sleep_for(act.late_delay);
-        if (silent_both_ways) co_await link_passes(number);
-        co_await s.write_all(act.late_response);
+      if (scripted.finish == ScriptedResponse::Finish::end_silently) {
+        attempt.end();
+        attempt.open_count.end();
+      }
+      if (!scripted.late_response.empty()) {
+        co_await loop_.sleep_for(scripted.late_delay);
+        if (silent_both_ways) co_await wait_for_link(connection);
+        co_await socket.write_all(scripted.late_response);
       }
-      if (act.finish == ScriptedResponse::Finish::hang ||
-          act.finish == ScriptedResponse::Finish::end_silently)
+      if (scripted.finish == ScriptedResponse::Finish::hang ||
+          scripted.finish == ScriptedResponse::Finish::end_silently)
         co_await loop_.sleep_for(600 * io::kSecond);
-      if (act.finish == ScriptedResponse::Finish::reset) s.close(true);
-      if (act.finish != ScriptedResponse::Finish::keep_alive) co_return;
+      if (scripted.finish == ScriptedResponse::Finish::reset) socket.close(true);
+      if (scripted.finish != ScriptedResponse::Finish::keep_alive) co_return;
     }
   }
-  void about_to_answer(const std::string& id) {
+  void begin_response(const std::string& id) {
     responding_to = id;
-    states_.report(fmt::format("{}: answers {}", name, id));
+    kv_entries_.report(fmt::format("{}: answers {}", name, id));
     if (before_response) before_response();
   }
-  // releases: of that request, as the read began.
-  void leave_state(const std::string& id, int releases) {
-    if (states_.release_counts[id] != releases) return;
-    states_[id] = name;
-    states_.report(fmt::format("{}: holds KV cache of {}", name, id));
+  // Stores the KV cache of that request, unless a release has arrived since the prefill started.
+  void leave_kv(const std::string& id, int releases_at_arrival) {
+    if (kv_entries_.release_counts[id] != releases_at_arrival) return;
+    kv_entries_[id] = name;
+    kv_entries_.report(fmt::format("{}: holds KV cache of {}", name, id));
   }
-  bool take_state(const std::string& id) {
-    if (states_.erase(id) == 0) return false;
-    states_.report(fmt::format("{}: takes KV cache of {}", name, id));
+  // False where no KV cache of that request is held.
+  bool take_kv(const std::string& id) {
+    if (kv_entries_.erase(id) == 0) return false;
+    kv_entries_.report(fmt::format("{}: takes KV cache of {}", name, id));
     return true;
   }
-  io::Task<> read(io::Socket& s, Attempt& attempt) {
+  io::Task<> run_prefill(io::Socket& socket, Attempt& attempt) {
     co_await loop_.sleep_for(20 * kMs);
-    if (attempt.gone) co_return;
-    leave_state(attempt.out.id, attempt.releases);
-    if (silent_both_ways && link_is_cut(attempt.connection)) attempt.out.note().end_not_heard = true;
-    attempt.out.end();
-    if (silent_both_ways) co_await link_passes(attempt.connection);
-    about_to_answer(attempt.out.id);
-    co_await s.write_all(
+    if (attempt.disconnected) co_return;
+    leave_kv(attempt.active_mark.id, attempt.releases_at_arrival);
+    if (silent_both_ways && is_link_silent(attempt.connection))
+      attempt.active_mark.update_status().end_not_heard = true;
+    attempt.active_mark.end();
+    if (silent_both_ways) co_await wait_for_link(attempt.connection);
+    begin_response(attempt.active_mark.id);
+    co_await socket.write_all(
         "HTTP/1.1 202 Accepted\r\nX-Load-Report: concurrent=1,x0=0.2\r\n"
         "content-length: 20\r\n\r\n{\"cached_tokens\":128}");
     if (after_response) after_response();
   }
-  io::Task<> write(io::Socket& s, Attempt& attempt) {
-    if (!take_state(attempt.out.id)) {
+  io::Task<> run_decode(io::Socket& socket, Attempt& attempt) {
+    if (!take_kv(attempt.active_mark.id)) {
       if (silent_both_ways) {
         attempt.end();
-        co_await link_passes(attempt.connection);
+        co_await wait_for_link(attempt.connection);
       }
-      co_await s.write_all("HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\ncontent-length: 0\r\n\r\n");
+      co_await socket.write_all("HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\ncontent-length: 0\r\n\r\n");
       co_return;
     }
-    if (silent_both_ways) co_await link_passes(attempt.connection);
-    about_to_answer(attempt.out.id);
-    co_await s.write_all(stream_head());
+    if (silent_both_ways) co_await wait_for_link(attempt.connection);
+    begin_response(attempt.active_mark.id);
+    co_await socket.write_all(stream_head());
     if (after_response) after_response();
     for (int i = 0; i < stream_events; ++i) {
-      if (silent_both_ways) co_await link_passes(attempt.connection);
-      co_await s.write_all(chunked(event(i)));
+      if (silent_both_ways) co_await wait_for_link(attempt.connection);
+      co_await socket.write_all(chunked(event(i)));
       co_await loop_.sleep_for(20 * kMs);
     }
-    co_await s.write_all(chunked(stream_end()) + chunked(": X-Load-Report: concurrent=2,x0=0.3\n\n") +
-                         "0\r\n\r\n");
+    co_await socket.write_all(chunked(stream_end()) + chunked(": X-Load-Report: concurrent=2,x0=0.3\n\n") +
+                              "0\r\n\r\n");
   }
 
  public:
@@ -326,70 +349,73 @@
   io::Scope scope_;
 };
 
-// Discovery's agent: the whole list, and watches that wait for a newer version.
+// A fake discovery agent: serves the full worker list, and watches that wait for a newer revision.
 class FakeDiscovery {
  public:
-  explicit FakeDiscovery(io::Loop& loop) : loop_(loop), changed_(loop), at_(kAnyPort) {
+  explicit FakeDiscovery(io::Loop& loop) : loop_(loop), changed_(loop), address_(kAnyPort) {
     open();
-    at_ = server_->address();
+    address_ = server_->address();
   }
-  const io::Address& address() const { return at_; }
+  const io::Address& address() const { return address_; }
+  // Adds, replaces or removes that target, and answers the watches that wait.
   void update(const json& target) {
-    std::erase_if(all_, [&](const json& t) { return t["uid"] == target["uid"]; });
-    if (target["state"] != "removed") all_.push_back(target);
+    std::erase_if(targets_, [&](const json& listed) { return listed["uid"] == target["uid"]; });
+    if (target["state"] != "removed") targets_.push_back(target);
     changes_.emplace_back(++rev, target);
     if (changes_.size() > 1000) changes_.erase(changes_.begin(), changes_.begin() + 500);
     changed_.notify();
   }
-  // Calls that are open now are never answered.
-  void abandon_open_calls() { ++forgotten_; }
-  // Open calls are reset, new ones refused.
+  // Calls that are open now never get an answer.
+  void abandon_open_calls() { ++call_generation_; }
+  // Resets the open calls and refuses new ones.
   void close() { server_.reset(); }
   void open() {
-    server_.emplace(loop_, at_, [this](http::Request& r, http::ResponseWriter& a) {
-      return answer(std::string(r.head.target), a);
+    server_.emplace(loop_, address_, [this](http::Request& request, http::ResponseWriter& writer) {
+      return answer(std::string(request.head.target), writer);
     });
   }
   std::size_t full_list_calls() const {
     return static_cast<std::size_t>(std::ranges::count(calls, "/discovery/hosts"));
   }
   std::uint64_t rev{40};
-  bool unresponsive{};         // new calls are never answered
-  io::Nanos response_delay{};  // and answers take so long more
+  bool unresponsive{};  // new calls never get an answer
+  io::Nanos response_delay{};
   bool pretty_print{};
-  bool always_full_list{};  // watches too are answered with the whole list
-  std::vector<std::string> calls;
+  bool always_full_list{};         // watches get the full list too, in place of the changes
+  std::vector<std::string> calls;  // request target of each call
 
  private:
-  io::Task<> answer(std::string target, http::ResponseWriter& to) {
+  io::Task<> answer(std::string target, http::ResponseWriter& writer) {
     calls.push_back(target);
-    const int of = forgotten_;
+    const int generation = call_generation_;
     if (unresponsive) co_await loop_.sleep_for(600 * io::kSecond);
-    const std::size_t at = target.find("index=");
-    std::vector<json> some;
-    if (at != std::string::npos) {
-      const auto after = static_cast<std::uint64_t>(std::stoll(target.substr(at + 6)));
+    const std::size_t index_at = target.find("index=");
+    std::vector<json> changed_targets;
+    if (index_at != std::string::npos) {
+      const auto known_rev = static_cast<std::uint64_t>(std::stoll(target.substr(index_at + 6)));
       const io::Nanos until = loop_.now() + std::stoll(target.substr(target.find("wait=") + 5)) * kMs;
-      while (rev == after && loop_.now() < until) co_await io::wait_until(loop_, changed_, until);
+      while (rev == known_rev && loop_.now() < until) co_await io::wait_until(loop_, changed_, until);
       for (const auto& [version, changed] : changes_)
-        if (version > after) some.push_back(changed);
+        if (version > known_rev) changed_targets.push_back(changed);
     }
-    const bool whole = at == std::string::npos || always_full_list;
-    const std::string text = json{{"rev", rev}, {"all", whole}, {"targets", json(whole ? all_ : some)}}.dump(
-        pretty_print ? 2 : -1);
+    const bool full_list = index_at == std::string::npos || always_full_list;
+    const std::string text =
+        json{{"rev", rev}, {"all", full_list}, {"targets", json(full_list ? targets_ : changed_targets)}}
+            .dump(pretty_print ? 2 : -1);
     if (response_delay > 0) co_await loop_.sleep_for(response_delay);
-    if (of != forgotten_) co_await loop_.sleep_for(600 * io::kSecond);
-    co_await to.respond(200, "", text);
+    if (generation != call_generation_) co_await loop_.sleep_for(600 * io::kSecond);
+    co_await writer.respond(200, "", text);
   }
   io::Loop& loop_;
   io::Signal changed_;
-  io::Address at_;
-  int forgotten_{};
-  std::vector<json> all_;
+  io::Address address_;
+  int call_generation_{};
+  std::vector<json> targets_;
   std::vector<std::pair<std::uint64_t, json>> changes_;
   std::optional<http::Server> server_;
 };
 
+// The settings that the platform hands to a node, in small: two zones, one traffic type, one tenant.
 inline json test_settings() {
   return json::parse(R"({"azs":["east","west"],"models":["prefill","decode"],"instances":1,"locality":0,
     "granularityMs":2.0,"discovery":"automatic",
@@ -404,25 +430,29 @@
     "tenants":[{"allowancePerS":1000.0,"name":"acme"}]})");
 }
 
+// What a client received for one request.
 struct ReceivedResponse {
   int status{};
   std::string fields;
   std::string body;
-  bool complete{};           // framed to its end
-  bool connection_closed{};  // the connection ended
-  io::Nanos elapsed{};
-  io::Nanos last_byte_at{};  // when its last byte had come
+  bool complete{};           // received to the end of its HTTP framing
+  bool connection_closed{};  // the router closed the connection
+  io::Nanos elapsed{};       // from the connect to the last byte
+  io::Nanos last_byte_at{};  // loop time
 };
 
+// A running router node with its workers, discovery agent and clients. Members are public for tests to
+// change.
 class PlatformFixture {
  public:
-  explicit PlatformFixture(int readers = 2, int writers = 2, const json& settings = test_settings(),
-                           std::size_t descriptors = 256, const router::PolicyFactory& make = make_policy)
+  explicit PlatformFixture(int prefills = 2, int decodes = 2, const json& settings = test_settings(),
+                           std::size_t descriptors = 256,
+                           const router::PolicyFactory& policy_factory = make_policy)
       : discovery(loop), log("n0", "off") {
-    for (int i = 0; i < readers + writers; ++i) {
-      const bool reads = i < readers;
+    for (int i = 0; i < prefills + decodes; ++i) {
+      const bool is_prefill = i < prefills;
       workers.push_back(std::make_unique<FakeWorker>(
-          loop, reads ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - readers), reads,
+          loop, is_prefill ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - prefills), is_prefill,
           kv_entries));
       discovery.update(target(*workers.back()));
     }
@@ -434,20 +464,21 @@
               {"known", {{"rev", 3}, {"all", true}, {"targets", json::array()}}},
               {"settings", settings}};
     node_config = std::make_unique<platform::NodeConfig>(platform::read_node_config(config.dump()));
-    node = std::make_unique<platform::Node>(loop, *node_config, log, make);
+    node = std::make_unique<platform::Node>(loop, *node_config, log, policy_factory);
     run_for(20);
   }
   ~PlatformFixture() {
     scope.cancel();
     node.reset();
   }
-  static json target(const FakeWorker& w, const std::string& state = "up") {
-    return target(w.name, w.address, w.is_prefill, state);
+  // A discovery target for that worker.
+  static json target(const FakeWorker& worker, const std::string& state = "up") {
+    return target(worker.name, worker.address, worker.is_prefill, state);
   }
-  static json target(const std::string& name, const std::string& address, bool reads,
+  static json target(const std::string& name, const std::string& address, bool is_prefill,
                      const std::string& state = "up") {
     return {{"uid", name},          {"endpoint", address},
-            {"az", "east"},         {"model", reads ? "prefill" : "decode"},
+            {"az", "east"},         {"model", is_prefill ? "prefill" : "decode"},
             {"pod_group", 3},       {"state", state},
             {"capacity_hint", 1.0}, {"boot_ms", 0}};
   }
@@ -457,11 +488,11 @@
     throw std::invalid_argument(name);
   }
   void run_for(std::int64_t ms) { testing::run_for(loop, ms); }
-  // Runs until that holds, for ten seconds of handed time at most.
+  // Runs until `condition` holds, for at most ten seconds of simulated time; returns whether it holds.
   template <class Condition>
   bool run_until(Condition condition) {
-    const io::Nanos last = loop.now() + 10 * io::kSecond;
-    loop.run_until([&] { return condition() || loop.now() > last; });
+    const io::Nanos deadline = loop.now() + 10 * io::kSecond;
+    loop.run_until([&] { return condition() || loop.now() > deadline; });
     return condition();
   }
 
@@ -474,6 +505,7 @@
                 {"messages", {{{"role", "user"}, {"content", text}}}}}
         .dump();
   }
+  // A complete request with the call header fields of the platform protocol; budget in milliseconds.
   static std::string request(const std::string& id, const std::string& body = request_body(),
                              const std::string& budget = "4800") {
     return request_with({{"X-Call-Id", id},
@@ -484,6 +516,7 @@
                          {"X-Call-Info", "prefix=5c0f6e1a2b3d4c59,prompt_len=128,prefix_len=64,max_out=100"}},
                         body);
   }
+  // A complete request with exactly these header fields beside Host and Content-Length.
   static std::string request_with(const std::vector<std::pair<std::string, std::string>>& fields,
                                   const std::string& body = request_body()) {
     std::string out = "POST /v1/chat/completions?trace=1 HTTP/1.1\r\nHost: service.internal\r\n";
@@ -491,40 +524,43 @@
     return out.append(fmt::format("Content-Length: {}\r\n\r\n", body.size())).append(body);
   }
 
-  // Sends a text on a connection of its own and goes on; what comes stands in heard[name], once it has ended, and in
-  // coming[name] meanwhile. leave: closes after so long.
-  void send(const std::string& name, std::string text, io::Nanos leave = 0, std::size_t answers = 1) {
-    scope.spawn(talk(name, std::move(text), leave, answers));
+  // Sends `text` on a new connection and returns at once. Each response is appended to responses[name] as it
+  // ends, and the last one is put into last_responses[name] in the end. Reads `count` responses; closes after
+  // `leave_after`, if not 0.
+  void send(const std::string& name, std::string text, io::Nanos leave_after = 0, std::size_t count = 1) {
+    scope.spawn(send_and_receive(name, std::move(text), leave_after, count));
   }
+  // Runs until the responses for that name have ended, and returns the last one.
   const ReceivedResponse& response(const std::string& name) {
-    const bool came = loop.run_until([&] { return last_responses.contains(name); });
-    CHECK_MESSAGE(came, "no answer to " << name);
+    const bool received = loop.run_until([&] { return last_responses.contains(name); });
+    CHECK_MESSAGE(received, "no response for " << name);
     return last_responses[name];
   }
-  // Whether that worker is listed as ready.
+  // Whether the router has that worker in its list as ready.
   bool is_listed_ready(const std::string& name) const {
-    for (const auto& link : node->host().fleet().entries())
-      if (link && link->listed.name == name) return link->not_ready_since == 0;
+    for (const auto& entry : node->host().fleet().entries())
+      if (entry && entry->listed.name == name) return entry->not_ready_since == 0;
     return false;
   }
-  // What the decisions believe of load against what passes on the sockets.
+  // Checks the load that the policy expects at each worker against the attempts and KV entries that exist.
   void check_load_counts() {
-    std::size_t held = 0;
+    std::size_t expected_kv_entries = 0;
     for (const auto& load : node->host().worker_loads()) {
       CAPTURE(load.worker);
       CHECK(load.expected.attempts == load.in_flight);
-      CHECK(load.in_flight <= worker(load.worker).open_requests);  // a stream that flows is open there too
-      held += static_cast<std::size_t>(load.expected.kv_entries);
+      CHECK(load.in_flight <= worker(load.worker).open_requests);  // an active stream is open there too
+      expected_kv_entries += static_cast<std::size_t>(load.expected.kv_entries);
     }
-    CHECK(held == kv_entries.size());
+    CHECK(expected_kv_entries == kv_entries.size());
   }
-  // Attempts that the workers have open, by their own count.
+  // Requests that are open at that worker, by its own count.
   int open_requests(const std::string& name) { return worker(name).open_requests; }
-  std::size_t count_requests(const std::string& start) const {
-    std::size_t n = 0;
+  // Requests at all workers whose request_log line starts with `prefix`.
+  std::size_t count_requests(const std::string& prefix) const {
+    std::size_t count = 0;
     for (const auto& w : workers)
-      for (const std::string& line : w->request_log) n += line.starts_with(start);
-    return n;
+      for (const std::string& line : w->request_log) count += line.starts_with(prefix);
+    return count;
   }
 
   io::Loop loop{io::Loop::Clock::simulated};
@@ -540,48 +576,49 @@
   io::Scope scope{loop};
 
  private:
-  io::Task<> talk(std::string name, std::string text, io::Nanos leave, std::size_t answers) {
-    ReceivedResponse got;
-    const io::Nanos began = loop.now();
+  io::Task<> send_and_receive(std::string name, std::string text, io::Nanos leave_after, std::size_t count) {
+    ReceivedResponse received;
+    const io::Nanos started_at = loop.now();
     io::Socket socket;
-    const io::IoResult made = co_await io::connect(loop, node->address(), socket);
-    CHECK(made.ok());
+    const io::IoResult connected = co_await io::connect(loop, node->address(), socket);
+    CHECK(connected.ok());
     http::MessageReader reader(socket, http::MessageKind::response);
     co_await socket.write_all(text);
     io::Scope leaver(loop);
-    if (leave > 0)
+    if (leave_after > 0)
       leaver.spawn([](io::Loop& l, io::Nanos span, io::Socket& s) -> io::Task<> {
         co_await l.sleep_for(span);
         s.close();
-      }(loop, leave, socket));
-    for (std::size_t i = 0; i < answers; ++i) {
-      got = {};
+      }(loop, leave_after, socket));
+    for (std::size_t i = 0; i < count; ++i) {
+      received = {};
       http::Head head;
-      http::MessageError fault = co_await reader.read_head(head);
-      got.connection_closed = fault == http::MessageError::closed;
-      got.status = head.status, got.last_byte_at = loop.now();
-      if (fault == http::MessageError::none)
+      http::MessageError error = co_await reader.read_head(head);
+      received.connection_closed = error == http::MessageError::closed;
+      received.status = head.status;
+      received.last_byte_at = loop.now();
+      if (error == http::MessageError::none)
         for (const auto& [key, value] : head.fields)
-          got.fields.append(key).append(": ").append(value).append("\n");
-      while (fault == http::MessageError::none && reader.has_more()) {
-        fault = co_await reader.read_some_body(got.body);
-        got.last_byte_at = loop.now();
+          received.fields.append(key).append(": ").append(value).append("\n");
+      while (error == http::MessageError::none && reader.has_more()) {
+        error = co_await reader.read_some_body(received.body);
+        received.last_byte_at = loop.now();
       }
-      got.complete = got.status != 0 && fault == http::MessageError::none;
-      got.elapsed = loop.now() - began;
-      responses[name].push_back(got);
-      if (!got.complete) break;
+      received.complete = received.status != 0 && error == http::MessageError::none;
+      received.elapsed = loop.now() - started_at;
+      responses[name].push_back(received);
+      if (!received.complete) break;
     }
-    if (got.complete && leave == 0) {  // whether the router ends the connection by itself
-      const auto ended =
+    if (received.complete && leave_after == 0) {  // checks whether the router closes the connection by itself
+      const auto closed =
           co_await io::with_deadline(loop, loop.now() + 1500 * kMs, [](io::Socket& s) -> io::Task<bool> {
             co_await s.wait_for_peer_close();
             co_return true;
           }(socket));
-      got.connection_closed = ended.has_value();
+      received.connection_closed = closed.has_value();
     }
     leaver.cancel();
-    last_responses[name] = got;
+    last_responses[name] = received;
   }
 };
 
--- a/tests/router_process.h
+++ b/tests/router_process.h
@@ -1,5 +1,6 @@
-// The router's program as a process of its own on loopback, beside stand-ins of this process and on real time. Tests wait
-// on what happens, for so long at most that only a program that hangs reaches it.
+// Test fixture that runs the router program as a child process over loopback, on real time, with fake workers
+// and a fake discovery agent in the test's own process. Tests wait for conditions, with a timeout that only a
+// hung program reaches.
 #pragma once
 
 #include <signal.h>
@@ -15,6 +16,7 @@
 
 namespace cressrill::testing {
 
+// The router program with one prefill and one decode worker. Each object uses files of its own under /tmp.
 class RouterProcess {
  public:
   RouterProcess()
@@ -24,8 +26,8 @@
         config_path(fmt::format("/tmp/cressrill-program-{}-{}", ::getpid(), static_cast<const void*>(this))) {
     for (FakeWorker* w : {&prefill_worker, &decode_worker}) discovery.update(PlatformFixture::target(*w));
     {
-      io::Listener port(loop, kAnyPort);
-      address = port.address();
+      io::Listener free_port(loop, kAnyPort);
+      address = free_port.address();
     }
     config = {{"name", "n0"},
               {"listen", address.to_string()},
@@ -37,45 +39,48 @@
   }
   ~RouterProcess() {
     process.kill();
-    std::remove(config_path.c_str()), std::remove(log_path().c_str());
+    std::remove(config_path.c_str());
+    std::remove(log_path().c_str());
   }
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
 
   std::string log_path() const { return config_path + ".log"; }
   void write_config(const std::string& text) { std::ofstream(config_path) << text; }
-  // log: where its standard error goes; its own log file where none is named.
-  void start(const std::string& level = "warn", const std::string& log = "") {
+  // Starts the program; its standard error goes to the file `log`, or to log_path() if that is empty.
+  void start(const std::string& log_level = "warn", const std::string& log = "") {
     ::setenv("EDGE_CONFIG", config_path.c_str(), 1);
-    process =
-        rig::Process({ROUTER_PROGRAM, "--platform", "--log-level", level}, log.empty() ? log_path() : log);
+    process = rig::Process({ROUTER_PROGRAM, "--platform", "--log-level", log_level},
+                           log.empty() ? log_path() : log);
   }
+  // Runs until `done` holds, for at most 20 s; returns whether it holds.
   bool run_until(const std::function<bool()>& done) {
     io::Scope scope(loop);
     scope.spawn([](io::Loop& l) -> io::Task<> {
       for (;;) co_await l.sleep_for(5 * kMs);
     }(loop));
-    const io::Nanos last = loop.now() + 20 * io::kSecond;
-    loop.run_until([&] { return done() || loop.now() > last; });
+    const io::Nanos deadline = loop.now() + 20 * io::kSecond;
+    loop.run_until([&] { return done() || loop.now() > deadline; });
     return done();
   }
   std::string log_text() const {
     std::ifstream log(log_path());
     return std::string(std::istreambuf_iterator<char>(log), {});
   }
-  // Asks once; status 0 where there was no answer.
+  // Sends one request on a new connection; status 0 where there was no response.
   http::ExchangeResult send(const std::string& text) {
-    http::ExchangeResult out;
-    bool over = false;
+    http::ExchangeResult result;
+    bool finished = false;
     io::Scope scope(loop);
-    scope.spawn(
-        [](io::Loop& l, io::Address to, std::string t, http::ExchangeResult& o, bool& done) -> io::Task<> {
-          o = co_await http::exchange(std::make_shared<http::Pool>(l, to), std::move(t));
-          done = true;
-        }(loop, address, text, out, over));
-    run_until([&] { return over; });
-    return out;
+    scope.spawn([](io::Loop& l, io::Address to, std::string request, http::ExchangeResult& response,
+                   bool& done) -> io::Task<> {
+      response = co_await http::exchange(std::make_shared<http::Pool>(l, to), std::move(request));
+      done = true;
+    }(loop, address, text, result, finished));
+    run_until([&] { return finished; });
+    return result;
   }
+  // Status of GET /up; 0 where there was no response.
   int up_status() { return send(http::format_request("GET", "/up", "h", "", "")).head.status; }
   bool wait_until_ready() {
     return run_until([&] { return up_status() == 200; });
