--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -1,5 +1,6 @@
-// A whole path on loopback in one process and on handed time: engines, roster, one router, clients. What the ends
-// noted is judged by the verdict, and can be printed as a short trace and compared with tests/traces/NAME.txt.
+// Test fixture for OpenAI-compatible engines: stand-in engines, a discovery stand-in, one router and clients
+// in one process, over loopback and on simulated time. What engines and clients record is checked by the
+// verdict, and can be printed as a short trace and compared with tests/traces/NAME.txt.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -24,19 +25,23 @@
 using rig::Engine;
 using rig::EngineMake;
 
-// The text compared with the kept one; CRESSRILL_TRACES=write writes it anew.
+// Compares a trace with the expected one in tests/traces/; CRESSRILL_TRACES=write overwrites the expected one
+// first.
 inline void compare_trace(const std::string& name, const std::string& text) {
   const std::string path = std::string(TRACE_DIR) + "/" + name + ".txt";
   const char* mode = std::getenv("CRESSRILL_TRACES");
   if (mode != nullptr && std::string(mode) == "write") std::ofstream(path) << text;
-  std::ostringstream kept;
-  kept << std::ifstream(path).rdbuf();
-  CHECK_MESSAGE(text == kept.str(), name << " now reads:\n" << text);
+  std::ostringstream expected;
+  expected << std::ifstream(path).rdbuf();
+  CHECK_MESSAGE(text == expected.str(), name << " now reads:\n" << text);
 }
 
-inline core::RouterConfig test_config(const std::string& roster, const std::string& more = "") {
-  const std::string path = fmt::format("/tmp/cressrill-test-{}.toml", static_cast<const void*>(&roster));
-  std::ofstream(path) << "[router]\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nroster = \"" << roster << R"("
+// The configuration of the tests, with `extra` appended to its text; read from a file that is removed again.
+inline core::RouterConfig test_config(const std::string& discovery_address, const std::string& extra = "") {
+  const std::string path =
+      fmt::format("/tmp/cressrill-test-{}.toml", static_cast<const void*>(&discovery_address));
+  std::ofstream(path) << "[router]\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nroster = \"" << discovery_address
+                      << R"("
 zone = "east"
 zones = ["east", "west"]
 routers = 1
@@ -80,46 +85,54 @@
 effect = "once-only"
 slo_ms = 1500
 abandon_ms = 6000
-)" << more;
-  core::ConfigErrors faults;
-  const auto station = core::read_router_config(path, faults);
+)" << extra;
+  core::ConfigErrors errors;
+  const auto config = core::read_router_config(path, errors);
   std::remove(path.c_str());
-  for (const auto& f : faults) FAIL_CHECK(f.to_string());
-  return station.value();
+  for (const auto& error : errors) FAIL_CHECK(error.to_string());
+  return config.value();
 }
 
+// A running router with its engines, discovery and clients. Members are public for tests to change.
 class EngineFixture {
  public:
-  explicit EngineFixture(int readers = 2, int writers = 2, const router::PolicyFactory& make = make_policy,
-                         const std::function<void(EngineMake&)>& change = {})
+  // `adjust` is called with the options of each engine before it is created.
+  explicit EngineFixture(int prefills = 2, int decodes = 2,
+                         const router::PolicyFactory& policy_factory = make_policy,
+                         const std::function<void(EngineMake&)>& adjust = {})
       : recorder(loop),
         discovery(loop, kAnyPort, recorder),
         config(test_config(discovery.address().to_string())),
         log("r", "off") {
-    for (int i = 0; i < readers + writers; ++i) {
-      EngineMake m;
-      m.name = i < readers ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - readers);
-      m.kind = i < readers ? "prefill" : "decode";
-      m.role = i < readers ? Role::prefill : Role::decode;
-      m.address = "127.0.0.1:0", m.zone = "east", m.cell = "e1";
-      m.read_per_s = 10'000, m.step_ms = 20, m.memory_tokens = 100'000;
-      if (change) change(m);
-      engines.push_back(std::make_unique<Engine>(loop, m, recorder));
-      Engine* e = engines.back().get();
-      discovery.change(rig::listed(*e, WorkerStatus::ready));
-      e->on_change([this, e](bool up) {
-        core::ListedWorker w = rig::listed(*e, up ? WorkerStatus::ready : WorkerStatus::gone);
-        if (e->started() > 0) w.started_at = e->started() + loop.wall_clock_offset();
-        discovery.change(w);
+    for (int i = 0; i < prefills + decodes; ++i) {
+      EngineMake make;
+      make.name = i < prefills ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - prefills);
+      make.kind = i < prefills ? "prefill" : "decode";
+      make.role = i < prefills ? Role::prefill : Role::decode;
+      make.address = "127.0.0.1:0";
+      make.zone = "east";
+      make.cell = "e1";
+      make.read_per_s = 10'000;
+      make.step_ms = 20;
+      make.memory_tokens = 100'000;
+      if (adjust) adjust(make);
+      engines.push_back(std::make_unique<Engine>(loop, make, recorder));
+      Engine* engine = engines.back().get();
+      discovery.change(rig::listed(*engine, WorkerStatus::ready));
+      engine->on_change([this, engine](bool up) {
+        core::ListedWorker listed = rig::listed(*engine, up ? WorkerStatus::ready : WorkerStatus::gone);
+        if (engine->started() > 0) listed.started_at = engine->started() + loop.wall_clock_offset();
+        discovery.change(listed);
       });
     }
     run_pending();
-    router = std::make_unique<router::Instance>(loop, config, log, 7, make);
+    router = std::make_unique<router::Instance>(loop, config, log, 7, policy_factory);
     run_for(50);
-    rule_book.drain_grace = config.drain_grace, rule_book.pin_limit = config.settings.kv_hold_limit;
+    rule_book.drain_grace = config.drain_grace;
+    rule_book.pin_limit = config.settings.kv_hold_limit;
     for (std::size_t i = 0; i < config.type_rules.size(); ++i) {
-      const TrafficType& t = config.settings.types[i];
-      rule_book.types[config.type_rules[i].name] = {t.effect, t.group, t.window, t.utility, 0.2};
+      const TrafficType& type = config.settings.types[i];
+      rule_book.types[config.type_rules[i].name] = {type.effect, type.group, type.window, type.utility, 0.2};
     }
     started_at = loop.now();
   }
@@ -135,70 +148,79 @@
     throw std::invalid_argument(name);
   }
   void run_for(std::int64_t ms) { testing::run_for(loop, ms); }
+  // Runs long enough for events that are due now.
   void run_pending() { run_for(1); }
-  // Runs until a line of that event was noted, count times in all.
+  // Runs until that event has been recorded `count` times in all.
   void run_until_recorded(const std::string& event, std::size_t count = 1) {
-    const bool came = loop.run_until([&] {
+    const bool recorded = loop.run_until([&] {
       return static_cast<std::size_t>(std::ranges::count_if(
-                 recorder.lines(), [&](const auto& l) { return l.value("e", "") == event; })) >= count;
+                 recorder.lines(), [&](const auto& line) { return line.value("e", "") == event; })) >= count;
     });
-    CHECK_MESSAGE(came, "never noted: " << event);
+    CHECK_MESSAGE(recorded, "event never recorded: " << event);
   }
 
+  // A client request with that name as its id, session and token; `out` is the number of tokens that it
+  // generates.
   rig::Question request(const std::string& name, int out = 4, const std::string& model = "m",
                         bool stream = true, int words = 200) {
-    rig::Question q;
-    q.sequence = name, q.id = name + ".0", q.router = "r", q.at = router->address(), q.stream = stream;
-    q.type = model == "m" ? "plain" : model;
-    if (model == "once") q.type = "once";
-    if (model == "tokened") q.mark = "mark-" + name;
-    q.abandon = 5'000 * io::kMs, q.slo = 1'500 * io::kMs;
+    rig::Question question;
+    question.sequence = name;
+    question.id = name + ".0";
+    question.router = "r";
+    question.at = router->address();
+    question.stream = stream;
+    question.type = model == "m" ? "plain" : model;
+    if (model == "once") question.type = "once";
+    if (model == "tokened") question.mark = "mark-" + name;
+    question.abandon = 5'000 * io::kMs;
+    question.slo = 1'500 * io::kMs;
     std::string text;
     for (int i = 0; i < words; ++i) text += "word ";
-    q.body = nlohmann::json{{"model", model},
-                            {"messages", {{{"role", "user"}, {"content", text}}}},
-                            {"prompt_cache_key", name},
-                            {"max_tokens", 400},
-                            {"metadata", {{"out", std::to_string(out)}}},
-                            {"stream", stream}}
-                 .dump();
-    return q;
+    question.body = nlohmann::json{{"model", model},
+                                   {"messages", {{{"role", "user"}, {"content", text}}}},
+                                   {"prompt_cache_key", name},
+                                   {"max_tokens", 400},
+                                   {"metadata", {{"out", std::to_string(out)}}},
+                                   {"stream", stream}}
+                        .dump();
+    return question;
   }
-  // Asks and goes on; the answer stands in heard[sequence] once it came.
-  void send(rig::Question q) {
-    scope.spawn([](EngineFixture& w, rig::Question it) -> io::Task<> {
-      const std::string name = it.sequence;
-      w.responses[name] = co_await rig::ask(w.loop, w.recorder, std::move(it));
-    }(*this, std::move(q)));
+  // Sends a request and returns at once; its response is put into responses[sequence].
+  void send(rig::Question question) {
+    scope.spawn([](EngineFixture& fixture, rig::Question sent) -> io::Task<> {
+      const std::string name = sent.sequence;
+      fixture.responses[name] = co_await rig::ask(fixture.loop, fixture.recorder, std::move(sent));
+    }(*this, std::move(question)));
   }
-  const rig::Heard& response(const std::string& sequence) {
-    const bool came = loop.run_until([&] { return responses.contains(sequence); });
-    CHECK_MESSAGE(came, "no answer to " << sequence);
-    return responses[sequence];
+  // Runs until that request has been answered.
+  const rig::Heard& response(const std::string& name) {
+    const bool received = loop.run_until([&] { return responses.contains(name); });
+    CHECK_MESSAGE(received, "no response for " << name);
+    return responses[name];
   }
   rig::Verdict verdict() const { return rig::judge(recorder.lines(), rule_book); }
   void check_rules_hold() const {
-    const rig::Verdict v = verdict();
-    CHECK_MESSAGE(v.kept(), v.text());
+    const rig::Verdict result = verdict();
+    CHECK_MESSAGE(result.kept(), result.text());
   }
   int count_events(const std::string& event, const std::string& engine = "") const {
-    return static_cast<int>(std::ranges::count_if(recorder.lines(), [&](const auto& l) {
-      return l.value("e", "") == event && (engine.empty() || l.value("engine", "") == engine);
+    return static_cast<int>(std::ranges::count_if(recorder.lines(), [&](const auto& line) {
+      return line.value("e", "") == event && (engine.empty() || line.value("engine", "") == engine);
     }));
   }
-  // What was noted since the start, a line each, with whole milliseconds.
+  // The events recorded since the fixture was ready, one a line, with their time in whole milliseconds.
   std::string trace() const {
     std::string out;
-    for (const auto& l : recorder.lines()) {
-      const std::string e = l.value("e", "");
-      const io::Nanos t = l.at("t").template get<io::Nanos>();
-      if (t < started_at || e == "told" || e == "up") continue;
-      out += fmt::format("{:>5} ms: ", (t - started_at) / io::kMs);
-      if (l.contains("engine")) out += l.value("engine", "") + " ";
-      out += e;
+    for (const auto& line : recorder.lines()) {
+      const std::string event = line.value("e", "");
+      const io::Nanos at = line.at("t").template get<io::Nanos>();
+      if (at < started_at || event == "told" || event == "up") continue;
+      out += fmt::format("{:>5} ms: ", (at - started_at) / io::kMs);
+      if (line.contains("engine")) out += line.value("engine", "") + " ";
+      out += event;
       for (const char* key : {"id", "stage", "state", "how", "kind", "status", "tokens", "kept"})
-        if (l.contains(key) && l[key] != "" && l[key] != 0)
-          out += " " + (l[key].is_string() ? l.value(key, "") : l[key].dump());
+        if (line.contains(key) && line[key] != "" && line[key] != 0)
+          out += " " + (line[key].is_string() ? line.value(key, "") : line[key].dump());
       out += "\n";
     }
     return out;
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -1,4 +1,5 @@
-// The whole path on loopback, each failure played through real sockets on handed time.
+// Requests through the whole router over loopback, with failures of engines, discovery and clients, on
+// simulated time.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "engine_fixture.h"
 
@@ -10,52 +11,58 @@
   return {kind, size, for_ms * io::kMs, ""};
 }
 
-// A peer that answers each connection's requests with the given texts, one after the other, then does as told.
+// A server that answers the requests of each connection with the given texts in turn. After the last one it
+// closes or resets the connection, or keeps it open (hang) and closes it without an answer at the next
+// request.
 class ScriptedPeer {
  public:
-  enum class Then { close, reset, hold };
-  ScriptedPeer(EngineFixture& world, std::vector<std::string> answers, Then then)
-      : answers_(std::move(answers)), then_(then), listener_(world.loop, kAnyPort), scope_(world.loop) {
+  enum class Finish { close, reset, hang };
+  ScriptedPeer(EngineFixture& fixture, std::vector<std::string> responses, Finish finish)
+      : responses_(std::move(responses)),
+        finish_(finish),
+        listener_(fixture.loop, kAnyPort),
+        scope_(fixture.loop) {
     scope_.spawn(accept());
   }
   std::string address() const { return listener_.address().to_string(); }
-  int requests() const { return requests_; }
-  int connections() const { return connections_; }
+  int requests() const { return request_count_; }
+  int connections() const { return connection_count_; }
 
  private:
   io::Task<> accept() {
     for (;;) {
-      io::Socket s = co_await listener_.accept();
-      ++connections_;
-      scope_.spawn(serve(std::move(s)));
+      io::Socket socket = co_await listener_.accept();
+      ++connection_count_;
+      scope_.spawn(serve(std::move(socket)));
     }
   }
-  io::Task<> serve(io::Socket s) {
-    http::MessageReader reader(s, http::MessageKind::request);
+  io::Task<> serve(io::Socket socket) {
+    http::MessageReader reader(socket, http::MessageKind::request);
     for (std::size_t i = 0;; ++i) {
       http::Head head;
       std::string body;
       if (co_await reader.read_head(head) != http::MessageError::none) break;
       if (co_await reader.read_body(body) != http::MessageError::none) break;
-      ++requests_;
-      if (i >= answers_.size()) break;
-      co_await s.write_all(answers_[i]);
-      if (i + 1 == answers_.size() && then_ != Then::hold) break;
+      ++request_count_;
+      if (i >= responses_.size()) break;
+      co_await socket.write_all(responses_[i]);
+      if (i + 1 == responses_.size() && finish_ != Finish::hang) break;
     }
-    s.close(then_ == Then::reset);
+    socket.close(finish_ == Finish::reset);
   }
-  std::vector<std::string> answers_;
-  Then then_;
-  int requests_{};
-  int connections_{};
+  std::vector<std::string> responses_;
+  Finish finish_;
+  int request_count_{};
+  int connection_count_{};
   io::Listener listener_;
   io::Scope scope_;
 };
 
-void list(EngineFixture& w, const std::string& name, const std::string& address, const char* kind,
-          WorkerStatus standing = WorkerStatus::ready) {
-  w.discovery.change({name, address, standing, 0, kind, "east", "e1"});
-  w.run_for(5);
+// Lists a worker with that address in discovery.
+void list(EngineFixture& fixture, const std::string& name, const std::string& address, const char* kind,
+          WorkerStatus status = WorkerStatus::ready) {
+  fixture.discovery.change({name, address, status, 0, kind, "east", "e1"});
+  fixture.run_for(5);
 }
 
 std::string stream_start() {
@@ -66,249 +73,255 @@
 
 }  // namespace
 
-TEST_CASE("the ordinary path: read, moved, written, streamed") {
-  EngineFixture w;
-  w.send(w.request("a"));
-  CHECK(w.response("a").how == "generated");
-  CHECK(w.response("a").tokens == 4);
-  w.run_for(100);
-  w.check_rules_hold();
-  compare_trace("path_ordinary", w.trace());
-}
-
-TEST_CASE("a whole answer is put together from the stream") {
-  EngineFixture w;
-  w.send(w.request("a", 12, "m", false));
-  CHECK(w.response("a").how == "generated");
-  CHECK(w.response("a").tokens == 12);
-  w.check_rules_hold();
-}
-
-TEST_CASE("the session's next turn goes to the reader that holds it") {
-  EngineFixture w;
-  w.send(w.request("a", 4, "m", true, 600));
-  w.response("a");
-  rig::Question again = w.request("a", 4, "m", true, 700);
-  again.sequence = "b", again.id = "b.0";
-  w.send(again);
-  w.response("b");
-  compare_trace("path_next_turn", w.trace());
-}
-
-TEST_CASE("an engine that answers after its attempt was given up: one answer, the state is let go") {
-  EngineFixture w(2, 1);
-  for (auto& e : w.engines)
-    if (e->make().role == Role::prefill) e->apply(fault("slow", 200, 4000));
-  w.send(w.request("a", 4, "m", true, 300));
-  w.response("a");
-  w.run_for(10'000);
-  w.check_rules_hold();
-  CHECK(w.count_events("held") == w.count_events("taken") + w.count_events("freed"));
-  for (const auto& e : w.engines) CHECK(e->states() == 0);
+TEST_CASE("ordinary request: prefill, KV transfer, decode and stream") {
+  EngineFixture fixture;
+  fixture.send(fixture.request("a"));
+  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("a").tokens == 4);
+  fixture.run_for(100);
+  fixture.check_rules_hold();
+  compare_trace("path_ordinary", fixture.trace());
+}
+
+TEST_CASE("a non-streaming response is assembled from the engine's stream") {
+  EngineFixture fixture;
+  fixture.send(fixture.request("a", 12, "m", false));
+  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("a").tokens == 12);
+  fixture.check_rules_hold();
+}
+
+TEST_CASE("the next turn of a session goes to the prefill worker that holds its prefix") {
+  EngineFixture fixture;
+  fixture.send(fixture.request("a", 4, "m", true, 600));
+  fixture.response("a");
+  rig::Question next_turn = fixture.request("a", 4, "m", true, 700);
+  next_turn.sequence = "b";
+  next_turn.id = "b.0";
+  fixture.send(next_turn);
+  fixture.response("b");
+  compare_trace("path_next_turn", fixture.trace());
+}
+
+TEST_CASE("an engine answers after its attempt was abandoned: one response, and the KV cache is released") {
+  EngineFixture fixture(2, 1);
+  for (auto& engine : fixture.engines)
+    if (engine->make().role == Role::prefill) engine->apply(fault("slow", 200, 4000));
+  fixture.send(fixture.request("a", 4, "m", true, 300));
+  fixture.response("a");
+  fixture.run_for(10'000);
+  fixture.check_rules_hold();
+  CHECK(fixture.count_events("held") == fixture.count_events("taken") + fixture.count_events("freed"));
+  for (const auto& engine : fixture.engines) CHECK(engine->states() == 0);
 }
 
 TEST_CASE("a stream that breaks after some tokens ends with one error event") {
-  EngineFixture w(1, 1);
-  w.engine("writer-0").apply(fault("cut", 1));
-  w.send(w.request("a", 20));
-  CHECK(w.response("a").how == "broken");
-  CHECK(w.response("a").tokens > 5);
-  w.run_for(2000);
-  w.check_rules_hold();
-  compare_trace("path_cut", w.trace());
-}
-
-TEST_CASE("a stream that stands still for good is broken off, and its client is told") {
-  EngineFixture w(1, 1);
-  w.send(w.request("a", 50));
-  w.run_until_recorded("ran");
-  w.run_for(100);
-  w.engine("writer-0").apply(fault("vanish"));
-  const io::Nanos stood_still = w.loop.now();
-  CHECK(w.response("a").how == "broken");
-  CHECK(w.loop.now() - stood_still <= 30 * io::kSecond);
-  CHECK(w.loop.now() - stood_still > 29 * io::kSecond);
-  CHECK(w.router->host().live_requests() == 0);
-  w.check_rules_hold();
-}
-
-TEST_CASE("replies cut in the middle: of a head, of a chunk, of an event; each sequence still ends once") {
+  EngineFixture fixture(1, 1);
+  fixture.engine("writer-0").apply(fault("cut", 1));
+  fixture.send(fixture.request("a", 20));
+  CHECK(fixture.response("a").how == "broken");
+  CHECK(fixture.response("a").tokens > 5);
+  fixture.run_for(2000);
+  fixture.check_rules_hold();
+  compare_trace("path_cut", fixture.trace());
+}
+
+TEST_CASE("a stream that stalls for good is ended, with an error to its client") {
+  EngineFixture fixture(1, 1);
+  fixture.send(fixture.request("a", 50));
+  fixture.run_until_recorded("ran");
+  fixture.run_for(100);
+  fixture.engine("writer-0").apply(fault("vanish"));
+  const io::Nanos stalled_at = fixture.loop.now();
+  CHECK(fixture.response("a").how == "broken");
+  CHECK(fixture.loop.now() - stalled_at <= 30 * io::kSecond);
+  CHECK(fixture.loop.now() - stalled_at > 29 * io::kSecond);
+  CHECK(fixture.router->host().live_requests() == 0);
+  fixture.check_rules_hold();
+}
+
+TEST_CASE("engine responses truncated in a head, a chunk or an event: each request still ends once") {
   const std::string event = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t1 ";
   std::string chunk;
   append_chunk(chunk, event);
-  const std::string starts[] = {"HTTP/1.1 200 OK\r\ncontent-ty", stream_start() + "3f\r\ndata: {\"cho",
-                                stream_start() + chunk};
+  const std::string truncated[] = {"HTTP/1.1 200 OK\r\ncontent-ty", stream_start() + "3f\r\ndata: {\"cho",
+                                   stream_start() + chunk};
   for (int i = 0; i < 3; ++i)
-    for (const auto then : {ScriptedPeer::Then::close, ScriptedPeer::Then::reset}) {
-      EngineFixture w(1, 0);
-      ScriptedPeer peer(w, {starts[i]}, then);
-      list(w, "odd", peer.address(), "decode");
-      w.send(w.request("a"));
-      const std::string how = w.response("a").how;
-      // A reset may take unread bytes with it: then the sequence had not begun.
+    for (const auto finish : {ScriptedPeer::Finish::close, ScriptedPeer::Finish::reset}) {
+      EngineFixture fixture(1, 0);
+      ScriptedPeer peer(fixture, {truncated[i]}, finish);
+      list(fixture, "odd", peer.address(), "decode");
+      fixture.send(fixture.request("a"));
+      const std::string how = fixture.response("a").how;
+      // A reset may discard unread bytes: the stream has not started then.
       CHECK((how == "broken" || how == "rejected"));
       if (i == 0) CHECK(how == "rejected");
-      if (i > 0 && then == ScriptedPeer::Then::close) CHECK(how == "broken");
-      w.run_for(8000);
-      CHECK(w.verdict().rules[0].offences ==
-            0);  // the peer streams without fetching: its state is no one's to judge
+      if (i > 0 && finish == ScriptedPeer::Finish::close) CHECK(how == "broken");
+      fixture.run_for(8000);
+      // Rule 1 alone: the peer streams without fetching the KV cache, so the other rules cannot be checked.
+      CHECK(fixture.verdict().rules[0].offences == 0);
     }
 }
 
-TEST_CASE("a reader's reply that is no reply is an error there, and the sequence goes elsewhere or ends") {
-  EngineFixture w(0, 1);
-  ScriptedPeer peer(w, {http::format_response(200, "", "not json", true)}, ScriptedPeer::Then::hold);
-  list(w, "odd", peer.address(), "prefill");
-  w.send(w.request("a"));
-  CHECK(w.response("a").how == "rejected");
-  w.check_rules_hold();
+TEST_CASE(
+    "an invalid prefill response counts as that worker's error, and the request goes elsewhere or ends") {
+  EngineFixture fixture(0, 1);
+  ScriptedPeer peer(fixture, {http::format_response(200, "", "not json", true)}, ScriptedPeer::Finish::hang);
+  list(fixture, "odd", peer.address(), "prefill");
+  fixture.send(fixture.request("a"));
+  CHECK(fixture.response("a").how == "rejected");
+  fixture.check_rules_hold();
+}
+
+TEST_CASE("a client leaves between prefill and decode: the KV cache is released in time") {
+  EngineFixture fixture(1, 1);
+  fixture.engine("writer-0").apply(fault("vanish", 0, 0));
+  rig::Question question = fixture.request("a");
+  {
+    io::Scope client(fixture.loop);
+    client.spawn([](EngineFixture& context, rig::Question sent) -> io::Task<> {
+      co_await rig::ask(context.loop, context.recorder, std::move(sent));
+    }(fixture, question));
+    fixture.run_until_recorded("held");
+    fixture.run_for(20);
+  }  // closes the connection of the client
+  fixture.recorder.note(
+      "final", {{"id", "a.0"}, {"sequence", "a"}, {"router", "r"}, {"type", "plain"}, {"how", "left"}});
+  fixture.run_for(900);
+  CHECK(fixture.count_events("freed") == 1);
+  fixture.check_rules_hold();
+  CHECK(fixture.router->host().live_requests() == 0);
 }
 
-TEST_CASE("a client that leaves between read and write: its state is let go in time") {
-  EngineFixture w(1, 1);
-  w.engine("writer-0").apply(fault("vanish", 0, 0));
-  rig::Question q = w.request("a");
-  {
-    io::Scope client(w.loop);
-    client.spawn([](EngineFixture& world, rig::Question it) -> io::Task<> {
-      co_await rig::ask(world.loop, world.recorder, std::move(it));
-    }(w, q));
-    w.run_until_recorded("held");
-    w.run_for(20);
-  }  // the client's connection closes with its coroutine
-  w.recorder.note("final",
-                  {{"id", "a.0"}, {"sequence", "a"}, {"router", "r"}, {"type", "plain"}, {"how", "left"}});
-  w.run_for(900);
-  CHECK(w.count_events("freed") == 1);
-  w.check_rules_hold();
-  CHECK(w.router->host().live_requests() == 0);
-}
-
-TEST_CASE("a drain told while a connection to that engine is being opened: nothing new after the grace") {
-  EngineFixture w(1, 0);
-  // A listener whose line is full: the kernel answers no more connections, and the router's hangs.
-  io::Listener full(w.loop, kAnyPort, 0);
-  std::vector<io::Socket> fill(3);
-  io::Scope filling(w.loop);
-  for (io::Socket& s : fill)
-    filling.spawn([](io::Loop& l, io::Address a, io::Socket& to) -> io::Task<> {
-      co_await io::connect(l, a, to);
-    }(w.loop, full.address(), s));
-  w.run_for(1);
-  list(w, "hung", full.address().to_string(), "decode");
-  w.send(w.request("a"));
-  w.run_until_recorded("held");
-  w.run_for(50);
-  list(w, "hung", full.address().to_string(), "decode", WorkerStatus::draining);
-  CHECK(w.response("a").how == "rejected");
-  w.run_for(1000);
-  w.check_rules_hold();
-}
-
-TEST_CASE("a draining engine gets nothing new, and finishes what it has") {
-  EngineFixture w(2, 2);
-  w.send(w.request("a", 60));
-  w.run_until_recorded("ran");
+TEST_CASE(
+    "an engine drains while a connection to it is being opened: no new attempt after the grace period") {
+  EngineFixture fixture(1, 0);
+  // A listener whose accept queue is full: the router's connect hangs.
+  io::Listener full(fixture.loop, kAnyPort, 0);
+  std::vector<io::Socket> sockets(3);
+  io::Scope filling(fixture.loop);
+  for (io::Socket& socket : sockets)
+    filling.spawn([](io::Loop& loop, io::Address address, io::Socket& to) -> io::Task<> {
+      co_await io::connect(loop, address, to);
+    }(fixture.loop, full.address(), socket));
+  fixture.run_for(1);
+  list(fixture, "hung", full.address().to_string(), "decode");
+  fixture.send(fixture.request("a"));
+  fixture.run_until_recorded("held");
+  fixture.run_for(50);
+  list(fixture, "hung", full.address().to_string(), "decode", WorkerStatus::draining);
+  CHECK(fixture.response("a").how == "rejected");
+  fixture.run_for(1000);
+  fixture.check_rules_hold();
+}
+
+TEST_CASE("a draining engine gets no new attempts and finishes its active ones") {
+  EngineFixture fixture(2, 2);
+  fixture.send(fixture.request("a", 60));
+  fixture.run_until_recorded("ran");
   for (const char* name : {"reader-0", "writer-0"})
-    w.discovery.change(rig::listed(w.engine(name), WorkerStatus::draining));
-  w.run_for(600);
-  const int before = w.count_events("in", "reader-0") + w.count_events("in", "writer-0");
-  for (int i = 0; i < 6; ++i) w.send(w.request("b" + std::to_string(i)));
-  for (int i = 0; i < 6; ++i) CHECK(w.response("b" + std::to_string(i)).how == "generated");
-  CHECK(w.response("a").how == "generated");
-  CHECK(w.count_events("in", "reader-0") + w.count_events("in", "writer-0") == before);
-  w.check_rules_hold();
+    fixture.discovery.change(rig::listed(fixture.engine(name), WorkerStatus::draining));
+  fixture.run_for(600);
+  const int attempts_before = fixture.count_events("in", "reader-0") + fixture.count_events("in", "writer-0");
+  for (int i = 0; i < 6; ++i) fixture.send(fixture.request("b" + std::to_string(i)));
+  for (int i = 0; i < 6; ++i) CHECK(fixture.response("b" + std::to_string(i)).how == "generated");
+  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.count_events("in", "reader-0") + fixture.count_events("in", "writer-0") == attempts_before);
+  fixture.check_rules_hold();
 }
 
 TEST_CASE(
-    "a kept connection closed just as it is used again may have run; one closed before is only made anew") {
-  SUBCASE("the request had left: a once-only sequence is not sent again and not rejected") {
-    EngineFixture w(1, 0);
-    std::string whole = stream_start();
-    append_chunk(whole, "data: [DONE]\n\n");
-    ScriptedPeer peer(w, {whole + std::string(http::kLastChunk)}, ScriptedPeer::Then::hold);
-    list(w, "odd", peer.address(), "decode");
-    w.send(w.request("a", 1, "once"));
-    CHECK(w.response("a").how == "generated");
-    w.send(w.request("b", 1, "once"));  // the peer reads it and closes without a word
-    CHECK(w.response("b").how == "aborted");
+    "a reused connection that closes after the request was sent may have run it; one closed before is "
+    "replaced") {
+  SUBCASE("after the request was sent: a once-only request is neither sent again nor rejected") {
+    EngineFixture fixture(1, 0);
+    std::string stream = stream_start();
+    append_chunk(stream, "data: [DONE]\n\n");
+    ScriptedPeer peer(fixture, {stream + std::string(http::kLastChunk)}, ScriptedPeer::Finish::hang);
+    list(fixture, "odd", peer.address(), "decode");
+    fixture.send(fixture.request("a", 1, "once"));
+    CHECK(fixture.response("a").how == "generated");
+    fixture.send(fixture.request("b", 1, "once"));  // the peer reads it and closes without an answer
+    CHECK(fixture.response("b").how == "aborted");
     CHECK(peer.requests() == 2);
-    w.run_for(2000);
-    w.check_rules_hold();
+    fixture.run_for(2000);
+    fixture.check_rules_hold();
   }
-  SUBCASE("nothing was sent: another connection carries it") {
-    EngineFixture w(1, 0);
-    std::string whole = stream_start();
-    append_chunk(whole, "data: [DONE]\n\n");
-    ScriptedPeer peer(w, {whole + std::string(http::kLastChunk)}, ScriptedPeer::Then::close);
-    list(w, "odd", peer.address(), "decode");
+  SUBCASE("before the request was sent: it goes over another connection") {
+    EngineFixture fixture(1, 0);
+    std::string stream = stream_start();
+    append_chunk(stream, "data: [DONE]\n\n");
+    ScriptedPeer peer(fixture, {stream + std::string(http::kLastChunk)}, ScriptedPeer::Finish::close);
+    list(fixture, "odd", peer.address(), "decode");
     for (const char* name : {"a", "b", "c"}) {
-      w.send(w.request(name, 1, "once"));
-      CHECK(w.response(name).how == "generated");
-      w.run_for(20);
+      fixture.send(fixture.request(name, 1, "once"));
+      CHECK(fixture.response(name).how == "generated");
+      fixture.run_for(20);
     }
     CHECK(peer.connections() == 3);
-    w.check_rules_hold();
+    fixture.check_rules_hold();
   }
 }
 
-TEST_CASE(
-    "engines that say 503, with and without Retry-After, are full: the sequence is rejected and may return") {
+TEST_CASE("engines answer 503, with and without Retry-After: the request is rejected and may be retried") {
   for (const char* fields : {"", "retry-after: 1\r\n"}) {
-    EngineFixture w(0, 1);
-    ScriptedPeer peer(w, std::vector<std::string>(20, http::format_response(503, fields, "{}", true)),
-                      ScriptedPeer::Then::hold);
-    list(w, "full", peer.address(), "prefill");
-    w.send(w.request("a", 4, "once"));
-    CHECK(w.response("a").how == "rejected");
-    CHECK(w.response("a").retry_after > 0);
-    w.check_rules_hold();
+    EngineFixture fixture(0, 1);
+    ScriptedPeer peer(fixture, std::vector<std::string>(20, http::format_response(503, fields, "{}", true)),
+                      ScriptedPeer::Finish::hang);
+    list(fixture, "full", peer.address(), "prefill");
+    fixture.send(fixture.request("a", 4, "once"));
+    CHECK(fixture.response("a").how == "rejected");
+    CHECK(fixture.response("a").retry_after > 0);
+    fixture.check_rules_hold();
   }
 }
 
-TEST_CASE("every engine full: all are rejected at once or in time, none is lost") {
-  EngineFixture w(2, 2, make_policy, [](EngineMake& m) { m.slots = 1, m.queue = 0; });
-  for (int i = 0; i < 30; ++i) w.send(w.request("s" + std::to_string(i), 100));
+TEST_CASE("all engines are full: each request is generated or rejected, none is lost") {
+  EngineFixture fixture(2, 2, make_policy, [](EngineMake& make) {
+    make.slots = 1;
+    make.queue = 0;
+  });
+  for (int i = 0; i < 30; ++i) fixture.send(fixture.request("s" + std::to_string(i), 100));
   std::map<std::string, int> how;
-  for (int i = 0; i < 30; ++i) ++how[w.response("s" + std::to_string(i)).how];
+  for (int i = 0; i < 30; ++i) ++how[fixture.response("s" + std::to_string(i)).how];
   CHECK(how["rejected"] + how["generated"] == 30);
   CHECK(how["rejected"] > 0);
   CHECK(how["generated"] > 0);
-  w.run_for(8000);
-  w.check_rules_hold();
+  fixture.run_for(8000);
+  fixture.check_rules_hold();
 }
 
-TEST_CASE("the roster gone for good: the last list serves") {
-  EngineFixture w;
-  w.discovery.go_away();
-  w.run_for(5000);
-  for (int i = 0; i < 4; ++i) w.send(w.request("s" + std::to_string(i)));
-  for (int i = 0; i < 4; ++i) CHECK(w.response("s" + std::to_string(i)).how == "generated");
-  w.check_rules_hold();
+TEST_CASE("discovery is gone for good: requests are served from the last worker list") {
+  EngineFixture fixture;
+  fixture.discovery.go_away();
+  fixture.run_for(5000);
+  for (int i = 0; i < 4; ++i) fixture.send(fixture.request("s" + std::to_string(i)));
+  for (int i = 0; i < 4; ++i) CHECK(fixture.response("s" + std::to_string(i)).how == "generated");
+  fixture.check_rules_hold();
 }
 
-TEST_CASE("a reader dies while its state waits to be moved: read again elsewhere") {
-  EngineFixture w(2, 1, make_policy, [](EngineMake& m) { m.transfer_per_s = 300; });
-  w.send(w.request("a"));
-  w.run_until_recorded("held");
-  w.run_for(20);
+TEST_CASE("a prefill worker crashes before its KV cache is transferred: the prefill runs again elsewhere") {
+  EngineFixture fixture(2, 1, make_policy, [](EngineMake& make) { make.transfer_per_s = 300; });
+  fixture.send(fixture.request("a"));
+  fixture.run_until_recorded("held");
+  fixture.run_for(20);
   for (const char* name : {"reader-0", "reader-1"})
-    if (w.count_events("held", name) > 0) w.engine(name).apply(fault("crash", 0, 3000));
-  CHECK(w.response("a").how == "generated");
-  w.run_for(5000);
-  w.check_rules_hold();
+    if (fixture.count_events("held", name) > 0) fixture.engine(name).apply(fault("crash", 0, 3000));
+  CHECK(fixture.response("a").how == "generated");
+  fixture.run_for(5000);
+  fixture.check_rules_hold();
 }
 
-TEST_CASE("a silent engine is left in time, and what waited there goes elsewhere") {
-  EngineFixture w(2, 2);
-  w.engine("writer-0").apply(fault("vanish", 0, 8000));
-  for (int i = 0; i < 6; ++i) w.send(w.request("s" + std::to_string(i)));
-  for (int i = 0; i < 6; ++i) CHECK(w.response("s" + std::to_string(i)).how == "generated");
-  w.run_for(12'000);
-  w.check_rules_hold();
+TEST_CASE("an engine stops responding: its requests go elsewhere in time") {
+  EngineFixture fixture(2, 2);
+  fixture.engine("writer-0").apply(fault("vanish", 0, 8000));
+  for (int i = 0; i < 6; ++i) fixture.send(fixture.request("s" + std::to_string(i)));
+  for (int i = 0; i < 6; ++i) CHECK(fixture.response("s" + std::to_string(i)).how == "generated");
+  fixture.run_for(12'000);
+  fixture.check_rules_hold();
 }
 
-TEST_CASE("a request that cannot be read gets one 4xx, its connection ends, and no engine hears of it") {
+TEST_CASE("an unreadable request gets one 4xx and a closed connection, and reaches no engine") {
   const std::string good = R"({"model":"m","messages":[{"role":"user","content":"hi"}]})";
   const std::string big =
       R"({"model":"m","messages":[{"role":"user","content":")" + std::string(30'000, 'x') + "\"}]}";
@@ -334,234 +347,251 @@
       {"unknown path", "POST /v1/other HTTP/1.1\r\nhost: r\r\ncontent-length: 0\r\n\r\n"},
       {"wrong method", "GET /v1/chat/completions HTTP/1.1\r\nhost: r\r\n\r\n"},
   };
-  EngineFixture w;
+  EngineFixture fixture;
   std::string trace;
   for (const auto& [name, text] : cases) {
-    std::string got;
+    std::string received;
     bool done = false;
-    w.scope.spawn([](EngineFixture& world, std::string request, std::string& to, bool& d) -> io::Task<> {
-      io::Socket s;
-      co_await io::connect(world.loop, world.router->address(), s);
-      co_await s.write_all(request);
-      std::array<char, 4096> buffer;
-      for (;;) {
-        const io::IoResult m = co_await s.read_some(buffer);
-        if (!m.ok() || m.bytes == 0) break;
-        to.append(buffer.data(), m.bytes);
-      }
-      d = true;  // the router ended the connection
-    }(w, text, got, done));
-    const bool ended = w.loop.run_until([&] { return done; });
-    CHECK_MESSAGE(ended, name);
-    CHECK(got.find("HTTP/1.1", 5) == std::string::npos);  // one answer
-    const std::size_t code = got.find("\"code\":");
-    trace += fmt::format(
-        "{:<26} {} {}\n", name, got.substr(9, 3),
-        code == std::string::npos ? "-" : got.substr(code + 7, got.find_first_of(",}", code) - code - 7));
+    fixture.scope.spawn(
+        [](EngineFixture& context, std::string request, std::string& response, bool& closed) -> io::Task<> {
+          io::Socket socket;
+          co_await io::connect(context.loop, context.router->address(), socket);
+          co_await socket.write_all(request);
+          std::array<char, 4096> buffer;
+          for (;;) {
+            const io::IoResult result = co_await socket.read_some(buffer);
+            if (!result.ok() || result.bytes == 0) break;
+            response.append(buffer.data(), result.bytes);
+          }
+          closed = true;  // the router closed the connection
+        }(fixture, text, received, done));
+    const bool was_closed = fixture.loop.run_until([&] { return done; });
+    CHECK_MESSAGE(was_closed, name);
+    CHECK(received.find("HTTP/1.1", 5) == std::string::npos);  // one response
+    const std::size_t code = received.find("\"code\":");
+    trace += fmt::format("{:<26} {} {}\n", name, received.substr(9, 3),
+                         code == std::string::npos
+                             ? "-"
+                             : received.substr(code + 7, received.find_first_of(",}", code) - code - 7));
   }
-  CHECK(w.count_events("in") == 0);
+  CHECK(fixture.count_events("in") == 0);
   compare_trace("path_unreadable", trace);
 }
 
-TEST_CASE("told to stop: what is in hand is settled, nothing new is taken") {
-  EngineFixture w;
-  w.send(w.request("a", 50));
-  w.run_until_recorded("ran");
-  w.router->stop();
-  w.send(w.request("b"));
-  CHECK(w.response("b").how == "unreached");
-  CHECK(w.response("a").how == "generated");
-  w.run_for(50);
-  CHECK(w.router->is_idle());
-  w.check_rules_hold();
-}
-
-TEST_CASE("many at once through all kinds of trouble: every rule holds") {
-  EngineFixture w(3, 4, make_policy, [](EngineMake& m) { m.slots = 6, m.queue = 6; });
-  const std::pair<const char*, rig::Fault> troubles[] = {
+TEST_CASE("shutdown: active requests are completed and no new ones are accepted") {
+  EngineFixture fixture;
+  fixture.send(fixture.request("a", 50));
+  fixture.run_until_recorded("ran");
+  fixture.router->stop();
+  fixture.send(fixture.request("b"));
+  CHECK(fixture.response("b").how == "unreached");
+  CHECK(fixture.response("a").how == "generated");
+  fixture.run_for(50);
+  CHECK(fixture.router->is_idle());
+  fixture.check_rules_hold();
+}
+
+TEST_CASE("many requests under faults of all kinds: every rule holds") {
+  EngineFixture fixture(3, 4, make_policy, [](EngineMake& make) {
+    make.slots = 6;
+    make.queue = 6;
+  });
+  const std::pair<const char*, rig::Fault> faults[] = {
       {"reader-0", fault("crash", 0, 2000)},         {"writer-0", fault("vanish", 0, 3000)},
       {"writer-1", fault("fast_errors", 0.9, 2000)}, {"reader-1", fault("flush")},
       {"writer-2", fault("cut", 0.5, 2000)},         {"reader-2", fault("slow", 5, 2000)},
       {"writer-3", fault("throttle", 0.7, 2000)},
   };
-  int n = 0;
-  for (const auto& [name, f] : troubles) {
-    w.engine(name).apply(f);
-    for (int i = 0; i < 12; ++i, ++n) {
+  int count = 0;
+  for (const auto& [name, engine_fault] : faults) {
+    fixture.engine(name).apply(engine_fault);
+    for (int i = 0; i < 12; ++i, ++count) {
       static constexpr const char* kModels[] = {"m", "m", "tokened", "once"};
-      rig::Question q =
-          w.request("s" + std::to_string(n), 15, kModels[n % 4], n % 5 != 0, 100 + 50 * (n % 7));
-      if (n % 9 == 0) q.leave_after_first = 30 * io::kMs;
-      w.send(q);
-      w.run_for(40);
+      rig::Question question = fixture.request("s" + std::to_string(count), 15, kModels[count % 4],
+                                               count % 5 != 0, 100 + 50 * (count % 7));
+      if (count % 9 == 0) question.leave_after_first = 30 * io::kMs;
+      fixture.send(question);
+      fixture.run_for(40);
     }
   }
-  for (int i = 0; i < n; ++i) w.response("s" + std::to_string(i));
-  w.run_for(10'000);
-  w.check_rules_hold();
-  for (const auto& e : w.engines) CHECK(e->states() == 0);
-  CHECK(w.router->host().live_requests() == 0);
+  for (int i = 0; i < count; ++i) fixture.response("s" + std::to_string(i));
+  fixture.run_for(10'000);
+  fixture.check_rules_hold();
+  for (const auto& engine : fixture.engines) CHECK(engine->states() == 0);
+  CHECK(fixture.router->host().live_requests() == 0);
 }
 
-// A faulty host: the decisions pass through it, with one guard taken out. It lives in the tests alone; the verdict
-// must see from outside what it does.
-class Faulty final : public Policy, public Actions {
+// A policy that breaks one rule: it passes events and actions on and suppresses one safeguard. The verdict
+// has to detect that from what engines and clients record.
+class FaultyPolicy final : public Policy, public Actions {
  public:
-  Faulty(int rule, const PolicySettings& d, std::uint64_t seed, Nanos now, Actions& out)
-      : rule_(rule), out_(out), inner_(make_policy(d, seed, now, *this)) {}
-  void list_begins(Nanos now, bool complete) override { inner_->list_begins(now, complete); }
-  void worker_listed(int worker, std::uint64_t identity, WorkerStatus standing, Nanos started, int kind,
+  FaultyPolicy(int broken_rule, const PolicySettings& settings, std::uint64_t seed, Nanos now,
+               Actions& actions)
+      : broken_rule_(broken_rule), actions_(actions), policy_(make_policy(settings, seed, now, *this)) {}
+  void list_begins(Nanos now, bool complete) override { policy_->list_begins(now, complete); }
+  void worker_listed(int worker, std::uint64_t identity, WorkerStatus status, Nanos started_at, int kind,
                      int zone, int cell) override {
-    if (rule_ == 3 && standing == WorkerStatus::draining) standing = WorkerStatus::ready;
-    if (rule_ == 4) started = 0;
-    inner_->worker_listed(worker, identity, standing, started, kind, zone, cell);
+    if (broken_rule_ == 3 && status == WorkerStatus::draining) status = WorkerStatus::ready;
+    if (broken_rule_ == 4) started_at = 0;
+    policy_->worker_listed(worker, identity, status, started_at, kind, zone, cell);
   }
-  void list_ends() override { inner_->list_ends(); }
-  void list_failed(Nanos now) override { inner_->list_failed(now); }
-  void request_arrived(Nanos now, int seq, int type, int tenant, std::uint64_t session,
-                       std::uint64_t beginning, double p, double b, double m, Nanos abandon_at) override {
-    inner_->request_arrived(now, seq, rule_ == 2 ? 0 : type, tenant, session, beginning, p, b, m, abandon_at);
+  void list_ends() override { policy_->list_ends(); }
+  void list_failed(Nanos now) override { policy_->list_failed(now); }
+  void request_arrived(Nanos now, int request, int type, int tenant, std::uint64_t session,
+                       std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
+                       double max_output_tokens, Nanos deadline) override {
+    policy_->request_arrived(now, request, broken_rule_ == 2 ? 0 : type, tenant, session, prefix_hash,
+                             prompt_tokens, prefix_tokens, max_output_tokens, deadline);
   }
-  void client_left(Nanos now, int seq) override { inner_->client_left(now, seq); }
-  void stream_started(Nanos now, int seq, int attempt, Nanos took) override {
-    inner_->stream_started(now, seq, attempt, took);
+  void client_left(Nanos now, int request) override { policy_->client_left(now, request); }
+  void stream_started(Nanos now, int request, int attempt, Nanos elapsed) override {
+    policy_->stream_started(now, request, attempt, elapsed);
   }
-  void attempt_ended(Nanos now, int seq, int attempt, Outcome outcome, Nanos took, bool closed, double kept,
-                     const LoadReport& report) override {
-    inner_->attempt_ended(now, seq, attempt, outcome, took, closed, kept, report);
+  void attempt_ended(Nanos now, int request, int attempt, Outcome outcome, Nanos elapsed, bool closed,
+                     double cached_tokens, const LoadReport& report) override {
+    policy_->attempt_ended(now, request, attempt, outcome, elapsed, closed, cached_tokens, report);
   }
-  void on_wakeup(Nanos now) override { inner_->on_wakeup(now); }
+  void on_wakeup(Nanos now) override { policy_->on_wakeup(now); }
 
-  void send(int seq, int worker, AttemptLimits limits) override { out_.send(seq, worker, limits); }
-  void release(int seq) override {
-    if (rule_ != 5) out_.release(seq);
+  void send(int request, int worker, AttemptLimits limits) override {
+    actions_.send(request, worker, limits);
   }
-  void cancel(int seq, int attempt) override { out_.cancel(seq, attempt); }
-  void reject(int seq, Nanos after) override {
-    if (rule_ != 1) out_.reject(seq, after);
+  void release(int request) override {
+    if (broken_rule_ != 5) actions_.release(request);
   }
-  void abort(int seq) override {
-    if (rule_ != 1) out_.abort(seq);
+  void cancel(int request, int attempt) override { actions_.cancel(request, attempt); }
+  void reject(int request, Nanos retry_after) override {
+    if (broken_rule_ != 1) actions_.reject(request, retry_after);
   }
-  void subscribe() override { out_.subscribe(); }
-  void request_wakeup(Nanos after) override { out_.request_wakeup(after); }
-  void forget_request(int seq) override { out_.forget_request(seq); }
-  void forget_worker(int worker) override { out_.forget_worker(worker); }
+  void abort(int request) override {
+    if (broken_rule_ != 1) actions_.abort(request);
+  }
+  void subscribe() override { actions_.subscribe(); }
+  void request_wakeup(Nanos delay) override { actions_.request_wakeup(delay); }
+  void forget_request(int request) override { actions_.forget_request(request); }
+  void forget_worker(int worker) override { actions_.forget_worker(worker); }
 
  private:
-  int rule_;
-  Actions& out_;
-  std::unique_ptr<Policy> inner_;
+  int broken_rule_;
+  Actions& actions_;
+  std::unique_ptr<Policy> policy_;
 };
 
-router::PolicyFactory faulty(int rule) {
-  return [rule](const PolicySettings& d, std::uint64_t seed, Nanos now,
-                Actions& out) -> std::unique_ptr<Policy> {
-    return std::make_unique<Faulty>(rule, d, seed, now, out);
+router::PolicyFactory faulty_policy(int broken_rule) {
+  return [broken_rule](const PolicySettings& settings, std::uint64_t seed, Nanos now,
+                       Actions& actions) -> std::unique_ptr<Policy> {
+    return std::make_unique<FaultyPolicy>(broken_rule, settings, seed, now, actions);
   };
 }
 
-void only_broken(const EngineFixture& w, int rule) {
-  const rig::Verdict v = w.verdict();
-  for (const rig::Finding& f : v.rules) CHECK_MESSAGE((f.offences > 0) == (f.rule == rule), v.text());
+void check_only_broken(const EngineFixture& fixture, int broken_rule) {
+  const rig::Verdict verdict = fixture.verdict();
+  for (const rig::Finding& finding : verdict.rules)
+    CHECK_MESSAGE((finding.offences > 0) == (finding.rule == broken_rule), verdict.text());
 }
 
 TEST_CASE(
-    "fifty engines to which connections are opened in the same moment: each sequence is answered, none "
-    "slower") {
-  EngineFixture w(25, 25);
-  for (int i = 0; i < 50; ++i) w.send(w.request(fmt::format("s{}", i), 4));
+    "connections to fifty engines are opened at once: each request is answered within its latency SLO") {
+  EngineFixture fixture(25, 25);
+  for (int i = 0; i < 50; ++i) fixture.send(fixture.request(fmt::format("s{}", i), 4));
   std::set<std::string> engines;
   io::Nanos slowest = 0;
   for (int i = 0; i < 50; ++i) {
-    const rig::Heard& heard = w.response(fmt::format("s{}", i));
+    const rig::Heard& heard = fixture.response(fmt::format("s{}", i));
     CHECK(heard.how == "generated");
     slowest = std::max(slowest, heard.first);
   }
-  for (const auto& l : w.recorder.lines())
-    if (l.value("e", "") == "in") engines.insert(l.value("engine", ""));
+  for (const auto& line : fixture.recorder.lines())
+    if (line.value("e", "") == "in") engines.insert(line.value("engine", ""));
   CHECK(engines.size() > 25);
   CHECK(slowest < 1'500 * io::kMs);
-  w.check_rules_hold();
+  fixture.check_rules_hold();
 }
 
-TEST_CASE("a client that reads nothing costs the fast ones beside it nothing") {
+TEST_CASE("a client that reads nothing does not slow the others down") {
   std::string traces[2];
-  for (const bool slow : {false, true}) {
-    EngineFixture w;
-    io::Scope reading(w.loop);
-    if (slow) {
-      // Two thousand events for a client that takes none of them.
-      const rig::Question q = w.request("slow", 2'000);
-      reading.spawn([](EngineFixture& world, rig::Question it) -> io::Task<> {
+  for (const bool with_slow_client : {false, true}) {
+    EngineFixture fixture;
+    io::Scope reading(fixture.loop);
+    if (with_slow_client) {
+      // 2000 tokens for a client that reads none of them.
+      const rig::Question question = fixture.request("slow", 2'000);
+      reading.spawn([](EngineFixture& context, rig::Question sent) -> io::Task<> {
         io::Socket socket;
-        co_await io::connect(world.loop, it.at, socket);
-        co_await socket.write_all(http::format_request("POST", it.path, it.at.to_string(), "", it.body));
-        co_await world.loop.sleep_for(3'600 * io::kSecond);
-      }(w, q));
+        co_await io::connect(context.loop, sent.at, socket);
+        co_await socket.write_all(
+            http::format_request("POST", sent.path, sent.at.to_string(), "", sent.body));
+        co_await context.loop.sleep_for(3'600 * io::kSecond);
+      }(fixture, question));
     }
-    w.run_for(200);
-    for (int i = 0; i < 8; ++i) w.send(w.request(fmt::format("f{}", i), 30));
+    fixture.run_for(200);
+    for (int i = 0; i < 8; ++i) fixture.send(fixture.request(fmt::format("f{}", i), 30));
     for (int i = 0; i < 8; ++i) {
-      const rig::Heard& h = w.response(fmt::format("f{}", i));
-      traces[slow] +=
-          fmt::format("f{} {} {} tokens, {} ms\n", i, h.how, h.tokens, h.took / (100 * io::kMs) * 100);
+      const rig::Heard& heard = fixture.response(fmt::format("f{}", i));
+      traces[with_slow_client] += fmt::format("f{} {} {} tokens, {} ms\n", i, heard.how, heard.tokens,
+                                              heard.took / (100 * io::kMs) * 100);
     }
   }
   CHECK(traces[0] == traces[1]);
 }
 
-TEST_CASE("a host without rule 1's answers is caught") {
-  EngineFixture w(1, 1, faulty(1));
-  for (auto& e : w.engines) e->apply(fault("fast_errors", 1, 20'000));
-  w.send(w.request("a"));
-  CHECK(w.response("a").how == "silent");
-  only_broken(w, 1);
+TEST_CASE("the verdict detects a router that sends no final answers") {
+  EngineFixture fixture(1, 1, faulty_policy(1));
+  for (auto& engine : fixture.engines) engine->apply(fault("fast_errors", 1, 20'000));
+  fixture.send(fixture.request("a"));
+  CHECK(fixture.response("a").how == "silent");
+  check_only_broken(fixture, 1);
 }
 
-TEST_CASE("a host that takes once-only sequences for repeatable ones is caught") {
-  EngineFixture w(1, 2, faulty(2));
-  // The writers begin the effect and go down with the stream's first bytes still on their way.
-  rig::Question q = w.request("a", 40, "once");
-  w.send(q);
-  w.run_until_recorded("ran");
+TEST_CASE("the verdict detects a router that repeats once-only requests") {
+  EngineFixture fixture(1, 2, faulty_policy(2));
+  // The decode worker starts to run the request and crashes before its stream's first bytes arrive.
+  rig::Question question = fixture.request("a", 40, "once");
+  fixture.send(question);
+  fixture.run_until_recorded("ran");
   for (const char* name : {"writer-0", "writer-1"})
-    if (w.count_events("ran", name) > 0) w.engine(name).apply(fault("crash", 0, 0));
-  CHECK(w.response("a").how != "generated");
-  q.id = "a.1";
-  w.responses.clear();
-  w.send(q);  // rejected as harmless, the client comes again
-  w.response("a");
-  only_broken(w, 2);
-}
-
-TEST_CASE("a host that hides drains is caught") {
-  EngineFixture w(1, 1, faulty(3));
-  w.discovery.change(rig::listed(w.engine("writer-0"), WorkerStatus::draining));
-  w.run_for(700);
-  w.send(w.request("a"));
-  CHECK(w.response("a").how == "generated");
-  only_broken(w, 3);
-}
-
-TEST_CASE("a host that hides cold starts is caught") {
-  EngineFixture w(1, 2, faulty(4),
-                  [](EngineMake& m) { m.read_per_s = 4000, m.ramp_ms = 20'000, m.fall_multiple = 1.2; });
-  w.engine("reader-0").apply(fault("crash", 0, 100));
-  w.run_for(3000);
-  for (int i = 0; i < 12; ++i) w.send(w.request("s" + std::to_string(i), 2, "m", true, 1500)), w.run_for(80);
-  for (int i = 0; i < 12; ++i) w.response("s" + std::to_string(i));
-  w.run_for(3000);
-  only_broken(w, 4);
-}
-
-TEST_CASE("a host that lets go of nothing is caught") {
-  EngineFixture w(1, 1, faulty(5));
-  w.engine("writer-0").apply(fault("throttle", 1, 20'000));
-  w.send(w.request("a"));
-  CHECK(w.response("a").how == "rejected");
-  w.run_for(8000);
-  only_broken(w, 5);
+    if (fixture.count_events("ran", name) > 0) fixture.engine(name).apply(fault("crash", 0, 0));
+  CHECK(fixture.response("a").how != "generated");
+  question.id = "a.1";
+  fixture.responses.clear();
+  fixture.send(question);  // the client retries, as it was told that the request had not run
+  fixture.response("a");
+  check_only_broken(fixture, 2);
+}
+
+TEST_CASE("the verdict detects a router that ignores drains") {
+  EngineFixture fixture(1, 1, faulty_policy(3));
+  fixture.discovery.change(rig::listed(fixture.engine("writer-0"), WorkerStatus::draining));
+  fixture.run_for(700);
+  fixture.send(fixture.request("a"));
+  CHECK(fixture.response("a").how == "generated");
+  check_only_broken(fixture, 3);
+}
+
+TEST_CASE("the verdict detects a router that ignores cold starts") {
+  EngineFixture fixture(1, 2, faulty_policy(4), [](EngineMake& make) {
+    make.read_per_s = 4000;
+    make.ramp_ms = 20'000;
+    make.fall_multiple = 1.2;
+  });
+  fixture.engine("reader-0").apply(fault("crash", 0, 100));
+  fixture.run_for(3000);
+  for (int i = 0; i < 12; ++i) {
+    fixture.send(fixture.request("s" + std::to_string(i), 2, "m", true, 1500));
+    fixture.run_for(80);
+  }
+  for (int i = 0; i < 12; ++i) fixture.response("s" + std::to_string(i));
+  fixture.run_for(3000);
+  check_only_broken(fixture, 4);
+}
+
+TEST_CASE("the verdict detects a router that releases no KV cache") {
+  EngineFixture fixture(1, 1, faulty_policy(5));
+  fixture.engine("writer-0").apply(fault("throttle", 1, 20'000));
+  fixture.send(fixture.request("a"));
+  CHECK(fixture.response("a").how == "rejected");
+  fixture.run_for(8000);
+  check_only_broken(fixture, 5);
 }
 
 }  // namespace cressrill::testing
