--- a/tests/spoilt_answer_test.cpp
+++ b/tests/spoilt_answer_test.cpp
@@ -1,7 +1,8 @@
-// What operators saw: a prefill ended well at its worker, its answer was spoilt on the way (cut short, garbage, of another
-// status, without an end), and the KV cache that it left was neither taken nor released within its limit.
-// Judged here: whatever the answer, what was left is gone within the limit and 300 ms, counted from the prefill's end at its
-// worker, and each client that stays gets one whole answer by its deadline.
+// Guards against KV cache that stays held where a prefill ended well at its worker and its response was
+// corrupted on the way (truncated, garbage, another status, without an end): it was neither fetched nor
+// released within its limit.
+// Checked: whatever the response, the KV cache is gone within the limit and 300 ms, counted from the
+// prefill's end at its worker, and each client that stays gets one complete response by its deadline.
 #include "kv_hold_monitor.h"
 #include "raw_client.h"
 
@@ -9,33 +10,33 @@
 
 namespace {
 
-constexpr io::Nanos kPrefill = 20 * kMs;
+constexpr io::Nanos kPrefillTime = 20 * kMs;
 constexpr int kBudgetMs = 2500;
-constexpr int kAnswerSlackMs = 500;  // that a client waits past its deadline
+constexpr int kResponseSlackMs = 500;  // a response may arrive that long after the deadline
 constexpr int kSlowPrefillMs = 400;
-constexpr std::size_t kPlayed = 499;  // one of so many settings is played, another one for each answer
+constexpr std::size_t kSampleInterval = 499;  // runs one in 499 scenarios, others for each response
 
-// An answer as it reaches the router, of a prefill that has left its KV cache at its worker.
-struct Spoilt {
+// A response as it reaches the router, after a prefill that left its KV cache at its worker.
+struct CorruptResponse {
   std::string name;
   std::string text;
-  ScriptedResponse::Finish then{ScriptedResponse::Finish::hang};
-  std::string later{};
-  io::Nanos behind{};
-  bool silent{};  // nothing of it tells that the prefill has ended
+  ScriptedResponse::Finish finish{ScriptedResponse::Finish::hang};
+  std::string late_text{};  // sent `late_delay` after `text`
+  io::Nanos late_delay{};
+  bool silent{};  // gives no sign that the prefill has ended
 };
 
-const std::string kRead = "{\"cached_tokens\":128}";
-const std::string kHalfHead = "HTTP/1.1 202 Accepted\r\ncontent-le";
-const std::string kEndlessLength = "HTTP/1.1 202 Accepted\r\ncontent-length: 200\r\n\r\n{\"cached";
-const std::string kEndlessChunks =
+const std::string kPrefillBody = "{\"cached_tokens\":128}";
+const std::string kTruncatedHead = "HTTP/1.1 202 Accepted\r\ncontent-le";
+const std::string kTruncatedBody = "HTTP/1.1 202 Accepted\r\ncontent-length: 200\r\n\r\n{\"cached";
+const std::string kUnfinishedChunks =
     "HTTP/1.1 202 Accepted\r\ntransfer-encoding: chunked\r\n\r\n5\r\n{\"cac\r\n";
 const std::string kGarbage = "\x16\x03\x01 no http at all\r\n\r\n";
 
-std::string done() { return http::format_response(202, "", kRead, true); }
+std::string valid_response() { return http::format_response(202, "", kPrefillBody, true); }
 
-// Each of them on a connection that stays open, is closed in order, or is reset.
-std::vector<Spoilt> cut_short() {
+// Truncated responses, each on a connection that stays open, is closed in order, or is reset.
+std::vector<CorruptResponse> truncated_responses() {
   struct Text {
     std::string name;
     std::string text;
@@ -43,188 +44,196 @@
   };
   const std::vector<Text> texts{
       {"nothing", "", true},
-      {"half a head", kHalfHead, true},
-      {"a body shorter than its length", kEndlessLength},
-      {"chunks without an end", kEndlessChunks},
-      {"a chunk line that is none",
-       "HTTP/1.1 202 Accepted\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n{}\r\n"},
+      {"truncated head", kTruncatedHead, true},
+      {"body shorter than its content-length", kTruncatedBody},
+      {"chunks without an end", kUnfinishedChunks},
+      {"invalid chunk size line", "HTTP/1.1 202 Accepted\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n{}\r\n"},
       {"garbage", kGarbage},
-      {"garbage without a line's end", std::string(64, '\x7f'), true},
+      {"garbage without a line end", std::string(64, '\x7f'), true},
       {"1xx", "HTTP/1.1 100 Continue\r\n\r\n", true},
-      {"1xx and half a head", "HTTP/1.1 103 Early Hints\r\n\r\n" + kHalfHead, true},
+      {"1xx and a truncated head", "HTTP/1.1 103 Early Hints\r\n\r\n" + kTruncatedHead, true},
       {"a stream", FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0))},
-      {"a whole stream", FakeWorker::stream_head() +
-                             FakeWorker::chunked(FakeWorker::event(0) + FakeWorker::stream_end()) +
-                             "0\r\n\r\n"},
+      {"a complete stream", FakeWorker::stream_head() +
+                                FakeWorker::chunked(FakeWorker::event(0) + FakeWorker::stream_end()) +
+                                "0\r\n\r\n"},
       {"a head alone", "HTTP/1.1 202 Accepted\r\n\r\n"},
   };
-  std::vector<Spoilt> out;
+  std::vector<CorruptResponse> responses;
   for (const auto& [name, text, silent] : texts) {
-    out.push_back({name + ", open", text, ScriptedResponse::Finish::hang, "", 0, silent});
-    out.push_back({name + ", closed", text, ScriptedResponse::Finish::close});
-    out.push_back({name + ", reset", text, ScriptedResponse::Finish::reset});
+    responses.push_back({name + ", open", text, ScriptedResponse::Finish::hang, "", 0, silent});
+    responses.push_back({name + ", closed", text, ScriptedResponse::Finish::close});
+    responses.push_back({name + ", reset", text, ScriptedResponse::Finish::reset});
   }
-  return out;
+  return responses;
 }
 
-// Whole answers that say something else than what happened, but for those that promise that nothing ran.
-std::vector<Spoilt> wrong() {
-  std::vector<Spoilt> out{
+// Complete responses that contradict what happened, without those that promise that nothing ran.
+std::vector<CorruptResponse> misleading_responses() {
+  std::vector<CorruptResponse> responses{
       {"202, unreadable body", http::format_response(202, "", "\xff{]no json", true),
        ScriptedResponse::Finish::keep_alive},
       {"202, empty body", http::format_response(202, "", "", true), ScriptedResponse::Finish::keep_alive},
-      {"two answers in one", done() + done(), ScriptedResponse::Finish::keep_alive},
-      {"an answer and garbage", done() + kGarbage, ScriptedResponse::Finish::keep_alive},
-      {"a second answer 20 ms late", done(), ScriptedResponse::Finish::keep_alive, done(), 20 * kMs},
-      {"a second answer 70 ms late", done(), ScriptedResponse::Finish::keep_alive, done(), 70 * kMs},
-      {"1xx and the answer", "HTTP/1.1 100 Continue\r\n\r\n" + done(), ScriptedResponse::Finish::keep_alive},
+      {"two responses in one write", valid_response() + valid_response(),
+       ScriptedResponse::Finish::keep_alive},
+      {"a response and garbage", valid_response() + kGarbage, ScriptedResponse::Finish::keep_alive},
+      {"a second response 20 ms late", valid_response(), ScriptedResponse::Finish::keep_alive,
+       valid_response(), 20 * kMs},
+      {"a second response 70 ms late", valid_response(), ScriptedResponse::Finish::keep_alive,
+       valid_response(), 70 * kMs},
+      {"1xx and the response", "HTTP/1.1 100 Continue\r\n\r\n" + valid_response(),
+       ScriptedResponse::Finish::keep_alive},
   };
   for (const int status : {200, 204, 302, 304, 400, 404, 409, 410, 413, 429, 500, 502, 503, 504})
     for (const bool rejected : {false, true}) {
-      if (rejected && (status == 503 || status == 504)) continue;  // the protocol: it never ran
-      out.push_back({fmt::format("{}{}", status, rejected ? " with X-Rejected" : ""),
-                     http::format_response(status, rejected ? "X-Rejected: 1\r\n" : "", "", true),
-                     ScriptedResponse::Finish::keep_alive});
+      if (rejected && (status == 503 || status == 504)) continue;  // by the protocol, the attempt never ran
+      responses.push_back({fmt::format("{}{}", status, rejected ? " with X-Rejected" : ""),
+                           http::format_response(status, rejected ? "X-Rejected: 1\r\n" : "", "", true),
+                           ScriptedResponse::Finish::keep_alive});
     }
-  return out;
+  return responses;
 }
 
-enum class Client { stays, ends_sending, leaves };
+enum class ClientBehavior { stays, shuts_down_write, leaves };
 
-struct Setting {
+struct Scenario {
   int limit_ms{};
   int attempts_cap{};
   bool parallel{};
   bool cancelling{};
   const char* effect{};
   bool slow{};  // prefills were slow before
-  Client client{};
-  bool all{};  // the answers of all prefills are spoilt, else the first one of each worker
+  ClientBehavior client{};
+  bool all{};  // all prefill responses are corrupt; otherwise the first one of each worker
 
-  std::string text() const {
+  std::string to_string() const {
     return fmt::format("limit {} ms, cap {}, parallel {}, cancelling {}, {}, slow {}, client {}, all {}",
                        limit_ms, attempts_cap, parallel, cancelling, effect, slow, static_cast<int>(client),
                        all);
   }
-  json settings() const {
-    json out = settings_with_hold_limit(limit_ms, parallel, cancelling);
-    out["caps"]["attemptsCap"] = attempts_cap;
-    out["services"][0]["effect"] = effect;
-    out["services"][0]["windowMs"] = 2000.0;
-    return out;
+  json to_json() const {
+    json settings = settings_with_hold_limit(limit_ms, parallel, cancelling);
+    settings["caps"]["attemptsCap"] = attempts_cap;
+    settings["services"][0]["effect"] = effect;
+    settings["services"][0]["windowMs"] = 2000.0;
+    return settings;
   }
 };
 
-// Calls take(setting) with all of them.
-template <class Take>
-void each_setting(Take take) {
+// Calls callback(scenario) with every combination.
+template <class Callback>
+void for_each_scenario(Callback callback) {
   for (const int limit_ms : {300, 500, 1000})
     for (const int cap : {2, 3, 4, 5, 6})
       for (const bool parallel : {true, false})
         for (const bool cancelling : {true, false})
           for (const char* effect : {"retryable", "dedup", "fragile"})
             for (const bool slow : {false, true})
-              for (const Client client : {Client::stays, Client::ends_sending, Client::leaves})
+              for (const ClientBehavior client :
+                   {ClientBehavior::stays, ClientBehavior::shuts_down_write, ClientBehavior::leaves})
                 for (const bool all : {false, true})
-                  take(Setting{limit_ms, cap, parallel, cancelling, effect, slow, client, all});
+                  callback(Scenario{limit_ms, cap, parallel, cancelling, effect, slow, client, all});
 }
 
-void prefills_act(PlatformFixture& s, const ScriptedResponse& act, std::size_t times) {
-  for (auto& w : s.workers)
-    if (w->is_prefill) w->script.assign(times, act);
+void script_prefills(PlatformFixture& fixture, const ScriptedResponse& response, std::size_t count) {
+  for (auto& worker : fixture.workers)
+    if (worker->is_prefill) worker->script.assign(count, response);
 }
 
-// What takes longer than the limit may be voided.
-void learn_slow(PlatformFixture& s, int limit_ms) {
+// Lets the router learn that prefills are slow, yet within the limit: a release may discard one that takes
+// longer.
+void learn_slow(PlatformFixture& fixture, int limit_ms) {
   constexpr int kRequests = 6;
-  prefills_act(s, {"", ScriptedResponse::Finish::keep_alive, std::min(kSlowPrefillMs, limit_ms) * kMs, true},
-               kRequests);
+  script_prefills(fixture,
+                  {"", ScriptedResponse::Finish::keep_alive, std::min(kSlowPrefillMs, limit_ms) * kMs, true},
+                  kRequests);
   for (int i = 0; i < kRequests; ++i)
-    s.send(fmt::format("slow{}", i), PlatformFixture::request(fmt::format("s{}", i)));
-  for (int i = 0; i < kRequests; ++i) s.response(fmt::format("slow{}", i));
-  prefills_act(s, {}, 0);
-  s.run_for(100);
+    fixture.send(fmt::format("slow{}", i), PlatformFixture::request(fmt::format("s{}", i)));
+  for (int i = 0; i < kRequests; ++i) fixture.response(fmt::format("slow{}", i));
+  script_prefills(fixture, {}, 0);
+  fixture.run_for(100);
 }
 
-void client_stays(PlatformFixture& s, const std::string& request) {
-  s.send("a1", request);
-  s.run_for(kBudgetMs + kAnswerSlackMs);
-  REQUIRE(s.responses["a1"].size() == 1);
-  CHECK(s.responses["a1"].front().complete);
+void run_staying_client(PlatformFixture& fixture, const std::string& request) {
+  fixture.send("a1", request);
+  fixture.run_for(kBudgetMs + kResponseSlackMs);
+  REQUIRE(fixture.responses["a1"].size() == 1);
+  CHECK(fixture.responses["a1"].front().complete);
 }
 
-void client_goes(PlatformFixture& s, const std::string& request, Client how) {
-  RawClient client(s.node->address());
+void run_leaving_client(PlatformFixture& fixture, const std::string& request, ClientBehavior behavior) {
+  RawClient client(fixture.node->address());
   client.write(request);
-  s.run_for(how == Client::leaves ? 700 : 30);
-  how == Client::leaves ? client.close() : client.shutdown_write();
-  s.run_for(kBudgetMs + kAnswerSlackMs);
+  fixture.run_for(behavior == ClientBehavior::leaves ? 700 : 30);
+  behavior == ClientBehavior::leaves ? client.close() : client.shutdown_write();
+  fixture.run_for(kBudgetMs + kResponseSlackMs);
 }
 
-void play(const Spoilt& spoilt, const Setting& setting) {
-  CAPTURE(spoilt.name);
-  CAPTURE(setting.text());
-  constexpr std::size_t kMostAttempts = 40;
-  PlatformFixture s(2, 2, setting.settings());
-  warm_up(s);
-  if (setting.slow) learn_slow(s, setting.limit_ms);
-  const ScriptedResponse act{.response = spoilt.text,
-                             .finish = spoilt.then,
-                             .delay = kPrefill,
-                             .leaves_kv = true,
-                             .late_response = spoilt.later,
-                             .late_delay = spoilt.behind};
-  prefills_act(s, act, setting.all ? kMostAttempts : 1);
-  KvHoldMonitor watch(s, KvHoldMonitor::Measure::unattended);
+void run_scenario(const CorruptResponse& corrupt, const Scenario& scenario) {
+  CAPTURE(corrupt.name);
+  CAPTURE(scenario.to_string());
+  constexpr std::size_t kMaxAttempts = 40;
+  PlatformFixture fixture(2, 2, scenario.to_json());
+  warm_up(fixture);
+  if (scenario.slow) learn_slow(fixture, scenario.limit_ms);
+  const ScriptedResponse response{.response = corrupt.text,
+                                  .finish = corrupt.finish,
+                                  .delay = kPrefillTime,
+                                  .leaves_kv = true,
+                                  .late_response = corrupt.late_text,
+                                  .late_delay = corrupt.late_delay};
+  script_prefills(fixture, response, scenario.all ? kMaxAttempts : 1);
+  KvHoldMonitor monitor(fixture, KvHoldMonitor::Measure::unattended);
   const std::string request =
       PlatformFixture::request("a1", PlatformFixture::request_body(), std::to_string(kBudgetMs));
-  setting.client == Client::stays ? client_stays(s, request) : client_goes(s, request, setting.client);
-  s.run_for(setting.limit_ms + 1500);
-  check_longest_hold(watch, setting.limit_ms * kMs);
-  CHECK(s.kv_entries.empty());
-  CHECK(s.node->host().live_requests() == 0);
-  CHECK(s.node->host().invariants().violations() == 0);
+  scenario.client == ClientBehavior::stays ? run_staying_client(fixture, request)
+                                           : run_leaving_client(fixture, request, scenario.client);
+  fixture.run_for(scenario.limit_ms + 1500);
+  check_longest_hold(monitor, scenario.limit_ms * kMs);
+  CHECK(fixture.kv_entries.empty());
+  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().invariants().violations() == 0);
 }
 
-// Where prefills are slow, silence is taken for one more slow one (KNOWN-RED.txt: "a prefill whose answer is lost").
-void play_some(const std::vector<Spoilt>& kinds) {
-  std::size_t number = 0;
-  for (const Spoilt& spoilt : kinds)
-    each_setting([&](const Setting& setting) {
-      if (++number % kPlayed == 0 && !(setting.slow && spoilt.silent)) play(spoilt, setting);
+// Runs one in kSampleInterval scenarios. Left out: silent responses where prefills are slow, as the router
+// takes silence for one more slow prefill (KNOWN-RED.txt: "a prefill whose answer is lost").
+void run_sample(const std::vector<CorruptResponse>& responses) {
+  std::size_t count = 0;
+  for (const CorruptResponse& corrupt : responses)
+    for_each_scenario([&](const Scenario& scenario) {
+      if (++count % kSampleInterval == 0 && !(scenario.slow && corrupt.silent))
+        run_scenario(corrupt, scenario);
     });
 }
 
 }  // namespace
 
-TEST_CASE("a prefill that ended and is answered 400 or 404: what it left is released within the limit") {
+TEST_CASE("a prefill that ended is answered 400 or 404: its KV cache is released within the limit") {
   for (const int status : {400, 404})
     for (const int limit_ms : {300, 1000})
-      for (const Client client : {Client::stays, Client::ends_sending, Client::leaves})
-        play({std::to_string(status), http::format_response(status, "", "", true),
-              ScriptedResponse::Finish::keep_alive},
-             {limit_ms, 6, true, true, "retryable", false, client, true});
+      for (const ClientBehavior client :
+           {ClientBehavior::stays, ClientBehavior::shuts_down_write, ClientBehavior::leaves})
+        run_scenario({std::to_string(status), http::format_response(status, "", "", true),
+                      ScriptedResponse::Finish::keep_alive},
+                     {limit_ms, 6, true, true, "retryable", false, client, true});
 }
 
-TEST_CASE(
-    "a prefill whose answer does not end, as prefills were slow before: its limit counts from the answer's "
-    "head") {
-  for (const Spoilt& spoilt : cut_short())
+TEST_CASE("a prefill response does not end, and prefills were slow before: the limit counts from its head") {
+  for (const CorruptResponse& corrupt : truncated_responses())
     for (const int limit_ms : {300, 500, 1000})
       for (const bool cancelling : {true, false})
-        if (!spoilt.silent && spoilt.then == ScriptedResponse::Finish::hang)
-          play(spoilt, {limit_ms, 4, cancelling, cancelling, "retryable", true, Client::stays, false});
+        if (!corrupt.silent && corrupt.finish == ScriptedResponse::Finish::hang)
+          run_scenario(corrupt, {limit_ms, 4, cancelling, cancelling, "retryable", true,
+                                 ClientBehavior::stays, false});
 }
 
-TEST_CASE(
-    "a prefill whose answer is cut short: what it left is released, and its client is answered in time") {
-  play_some(cut_short());
+TEST_CASE("a prefill response is truncated: the KV cache is released, and the client is answered in time") {
+  run_sample(truncated_responses());
 }
 
 TEST_CASE(
-    "a prefill whose answer says something else: what it left is released, and its client is answered in "
+    "a prefill response contradicts what happened: the KV cache is released, and the client is answered in "
     "time") {
-  play_some(wrong());
+  run_sample(misleading_responses());
 }
 
 }  // namespace cressrill::testing
