--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,129 +1,140 @@
-// The end of a process: what is still owed when it is told to end, and the orders in which that can cross with what comes.
+// Shutdown: releases, requests and connections that are open when it starts, or arrive while it is running.
 #include "kv_hold_monitor.h"
 #include "raw_server.h"
 
 namespace cressrill::testing {
 
-// Guards rule 5: nobody else knows of the state.
-TEST_CASE("a process that is told to end waits until a worker has heard that a state is let go of") {
-  PlatformFixture s(1, 1);
-  s.worker("writer-0").script = always_reject();
-  s.send("a", PlatformFixture::request("a1"));
-  s.run_until([&] { return !s.kv_entries.empty(); });
-  s.worker("reader-0").crash();
-  s.run_until([&] { return s.node->host().live_requests() == 0; });
-  REQUIRE(!s.kv_entries.empty());
-  CHECK(!s.node->settled());
-  s.run_until([&] { return s.node->settled(); });
-  CHECK(s.kv_entries.empty());
+// Guards against KV cache that stays held because the only process that knew of it has exited (rule 5).
+TEST_CASE("a process that is told to end waits until a worker has received the release of held KV cache") {
+  PlatformFixture fixture(1, 1);
+  fixture.worker("writer-0").script = always_reject();
+  fixture.send("a", PlatformFixture::request("a1"));
+  fixture.run_until([&] { return !fixture.kv_entries.empty(); });
+  fixture.worker("reader-0").crash();
+  fixture.run_until([&] { return fixture.node->host().live_requests() == 0; });
+  REQUIRE(!fixture.kv_entries.empty());
+  CHECK(!fixture.node->settled());
+  fixture.run_until([&] { return fixture.node->settled(); });
+  CHECK(fixture.kv_entries.empty());
 }
 
-TEST_CASE("a process whose workers all are gone is not held up by a state for longer than its limit") {
-  PlatformFixture s(1, 1);
-  s.worker("writer-0").script = always_reject();
-  s.send("a", PlatformFixture::request("a1"));
-  s.run_until([&] { return !s.kv_entries.empty(); });
-  for (auto& w : s.workers) w->crash();
-  s.run_until([&] { return s.node->host().live_requests() == 0; });
-  const io::Nanos over = s.loop.now();
-  s.run_until([&] { return s.node->settled(); });
-  CHECK(s.loop.now() - over <= s.node_config->config.settings.kv_hold_limit);
+TEST_CASE("a process whose workers are all gone waits for a release no longer than the KV hold limit") {
+  PlatformFixture fixture(1, 1);
+  fixture.worker("writer-0").script = always_reject();
+  fixture.send("a", PlatformFixture::request("a1"));
+  fixture.run_until([&] { return !fixture.kv_entries.empty(); });
+  for (auto& worker : fixture.workers) worker->crash();
+  fixture.run_until([&] { return fixture.node->host().live_requests() == 0; });
+  const io::Nanos ended_at = fixture.loop.now();
+  fixture.run_until([&] { return fixture.node->settled(); });
+  CHECK(fixture.loop.now() - ended_at <= fixture.node_config->config.settings.kv_hold_limit);
 }
 
-// Guards against an exit while a release may still reach a worker: SIGKILL comes 3.7 s after SIGTERM at the earliest.
+// Guards against an exit while a release could still reach a worker: SIGKILL follows SIGTERM after 3.7 s at
+// the earliest.
 TEST_CASE(
-    "a process that ends while all links are silent for longer than the limit releases once they pass") {
+    "a process that shuts down while all links are silent beyond the limit sends its releases once they "
+    "recover") {
   for (const int limit_ms : {300, 500, 1000}) {
     CAPTURE(limit_ms);
-    PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
-    warm_up(s);
-    for (auto& w : s.workers) w->link_silent = !w->is_prefill;
-    send_requests(s, 2, "600");
-    s.run_until([&] { return s.kv_entries.size() == 2; });
-    for (auto& w : s.workers) w->link_silent = true;
-    const io::Nanos told_to_end = s.loop.now();
-    s.node->announce_shutdown();
-    s.run_for(450);
-    s.node->drain();
-    s.run_for(100);
-    s.node->close();
-    s.run_until([&] { return s.node->settled() || s.loop.now() - told_to_end >= 2800 * kMs; });
-    CHECK(!s.node->settled());
-    for (auto& w : s.workers) w->link_silent = false, w->silent_connections = w->accepted_connections;
-    s.run_until([&] { return s.node->settled() || s.loop.now() - told_to_end >= 3700 * kMs; });
-    CHECK(s.node->settled());
-    CHECK(s.kv_entries.empty());
+    PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms));
+    warm_up(fixture);
+    for (auto& worker : fixture.workers) worker->link_silent = !worker->is_prefill;
+    send_requests(fixture, 2, "600");
+    fixture.run_until([&] { return fixture.kv_entries.size() == 2; });
+    for (auto& worker : fixture.workers) worker->link_silent = true;
+    const io::Nanos shutdown_at = fixture.loop.now();
+    fixture.node->announce_shutdown();
+    fixture.run_for(450);
+    fixture.node->drain();
+    fixture.run_for(100);
+    fixture.node->close();
+    fixture.run_until(
+        [&] { return fixture.node->settled() || fixture.loop.now() - shutdown_at >= 2800 * kMs; });
+    CHECK(!fixture.node->settled());
+    for (auto& worker : fixture.workers) {
+      worker->link_silent = false;
+      worker->silent_connections = worker->accepted_connections;
+    }
+    fixture.run_until(
+        [&] { return fixture.node->settled() || fixture.loop.now() - shutdown_at >= 3700 * kMs; });
+    CHECK(fixture.node->settled());
+    CHECK(fixture.kv_entries.empty());
   }
 }
 
-// Guards against an exit that takes a debt for over as it arises.
-TEST_CASE("a client that leaves 3 s after the process has closed: what its request left is released") {
+// Guards against an exit that treats a release as overdue at the moment it becomes necessary.
+TEST_CASE("a client leaves 3 s after the process has closed: the KV cache of its request is released") {
   for (const int limit_ms : {300, 1000})
-    for (const int leaves_ms : {3100, 3400}) {
+    for (const int leave_after_ms : {3100, 3400}) {
       CAPTURE(limit_ms);
-      CAPTURE(leaves_ms);
-      PlatformFixture s(2, 2, settings_with_hold_limit(limit_ms));
-      warm_up(s);
-      for (auto& w : s.workers) w->link_silent = true;
-      s.node->announce_shutdown();
-      s.run_for(450);
-      s.node->drain();
-      s.run_for(100);
+      CAPTURE(leave_after_ms);
+      PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms));
+      warm_up(fixture);
+      for (auto& worker : fixture.workers) worker->link_silent = true;
+      fixture.node->announce_shutdown();
+      fixture.run_for(450);
+      fixture.node->drain();
+      fixture.run_for(100);
       for (const char* id : {"a1", "a2", "a3", "a4"})
-        s.send(id, PlatformFixture::request(id, PlatformFixture::request_body(), "8000"), leaves_ms * kMs);
-      s.run_for(30);
-      s.node->close();
-      s.run_for(leaves_ms - 200);
-      for (auto& w : s.workers)
-        if (w->is_prefill) w->link_silent = false, w->silent_connections = w->accepted_connections;
-      s.run_for(160);
-      for (auto& w : s.workers) {  // new connections to one of them pass
-        w->link_silent = w->name != "writer-1";
-        w->silent_connections = w->link_silent ? 0 : w->accepted_connections;
+        fixture.send(id, PlatformFixture::request(id, PlatformFixture::request_body(), "8000"),
+                     leave_after_ms * kMs);
+      fixture.run_for(30);
+      fixture.node->close();
+      fixture.run_for(leave_after_ms - 200);
+      for (auto& worker : fixture.workers)
+        if (worker->is_prefill) {
+          worker->link_silent = false;
+          worker->silent_connections = worker->accepted_connections;
+        }
+      fixture.run_for(160);
+      for (auto& worker : fixture.workers) {  // new connections to one of them work
+        worker->link_silent = worker->name != "writer-1";
+        worker->silent_connections = worker->link_silent ? 0 : worker->accepted_connections;
       }
-      REQUIRE(s.run_until([&] { return s.node->host().live_requests() == 0; }));
-      CHECK(s.run_until([&] { return s.node->settled(); }));
-      CHECK(s.kv_entries.empty());
+      REQUIRE(fixture.run_until([&] { return fixture.node->host().live_requests() == 0; }));
+      CHECK(fixture.run_until([&] { return fixture.node->settled(); }));
+      CHECK(fixture.kv_entries.empty());
     }
 }
 
-// Guards against a request that the machine has accepted and that nobody reads: its connection would be reset.
-TEST_CASE("a connection that the machine accepted before the listener closes is answered") {
-  PlatformFixture s(1, 1);
-  RawClient client(s.node->address());
+// Guards against a reset of a connection that the kernel has accepted and whose request nobody reads.
+TEST_CASE("a connection that the kernel accepted before the listener closes is answered") {
+  PlatformFixture fixture(1, 1);
+  RawClient client(fixture.node->address());
   client.write(PlatformFixture::request("a1"));
-  s.node->close();  // the scheduler has not heard of that connection yet
-  s.run_for(50);
+  fixture.node->close();  // the event loop has not seen that connection yet
+  fixture.run_for(50);
   client.read();
   CHECK(client.text().starts_with("HTTP/1.1 503"));
   CHECK(client.ended());
   CHECK(!client.reset());
-  CHECK(s.count_requests("POST") == 0);
+  CHECK(fixture.count_requests("POST") == 0);
 }
 
-TEST_CASE("GET /up denies once the end is announced, while requests are served as before") {
-  PlatformFixture s(1, 1);
-  s.node->announce_shutdown();
-  s.send("up", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-  CHECK(s.response("up").status == 503);
-  s.send("a", PlatformFixture::request("a1"));
-  CHECK(s.response("a").complete);
-  CHECK(!s.response("a").connection_closed);
+TEST_CASE("GET /up fails once shutdown is announced, while requests are still served") {
+  PlatformFixture fixture(1, 1);
+  fixture.node->announce_shutdown();
+  fixture.send("up", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+  CHECK(fixture.response("up").status == 503);
+  fixture.send("a", PlatformFixture::request("a1"));
+  CHECK(fixture.response("a").complete);
+  CHECK(!fixture.response("a").connection_closed);
 }
 
-// Guards against a request of which a part has been read and that is dropped without an answer.
-TEST_CASE("half a request as connections begin to end: the rest is awaited, and it is served") {
-  PlatformFixture s(1, 1);
+// Guards against a request that is dropped without a response after a part of it was read.
+TEST_CASE("a partly received request as connections are drained: the rest is read, and it is served") {
+  PlatformFixture fixture(1, 1);
   const std::string request = PlatformFixture::request("a1");
   for (const std::size_t part : {std::size_t{40}, request.size() - 5}) {
     CAPTURE(part);
-    RawClient client(s.node->address());
+    RawClient client(fixture.node->address());
     client.write(request.substr(0, part));
-    s.run_for(20);
-    s.node->drain();
-    s.run_for(20);
+    fixture.run_for(20);
+    fixture.node->drain();
+    fixture.run_for(20);
     client.write(request.substr(part));
-    s.run_for(400);
+    fixture.run_for(400);
     client.read();
     CHECK(is_complete_stream(client.text()));
     CHECK(client.ended());
@@ -132,93 +143,102 @@
 }
 
 TEST_CASE(
-    "half a request as the process is about to end: it is refused once it is whole, and nothing is sent") {
-  for (const bool on_a_resting_connection : {false, true}) {
-    CAPTURE(on_a_resting_connection);
-    PlatformFixture s(1, 1);
+    "a partly received request as the process closes: it is rejected once it is complete, and nothing is "
+    "sent") {
+  for (const bool on_idle_connection : {false, true}) {
+    CAPTURE(on_idle_connection);
+    PlatformFixture fixture(1, 1);
     const std::string request = PlatformFixture::request("a1");
-    RawClient client(s.node->address());
-    if (on_a_resting_connection) {
+    RawClient client(fixture.node->address());
+    if (on_idle_connection) {
       client.write("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-      s.run_for(10);
+      fixture.run_for(10);
       client.read();
       client.clear_text();
     }
     client.write(request.substr(0, 40));
-    s.run_for(20);
-    s.node->close();
-    s.run_for(20);
+    fixture.run_for(20);
+    fixture.node->close();
+    fixture.run_for(20);
     client.write(request.substr(40));
-    s.run_for(50);
+    fixture.run_for(50);
     client.read();
     CHECK(client.text().starts_with("HTTP/1.1 503"));
     CHECK(client.text().find("retry-after: 0.2") != std::string::npos);
     CHECK(client.ended());
     CHECK(!client.reset());
-    CHECK(s.count_requests("POST") == 0);
+    CHECK(fixture.count_requests("POST") == 0);
   }
 }
 
-TEST_CASE(
-    "a stream that flows as the process is about to end comes to its end, and its connection ends in order") {
-  PlatformFixture s(1, 1);
-  s.worker("writer-0").stream_events = 100;
-  RawClient client(s.node->address());
+TEST_CASE("an active stream as the process closes is completed, and its connection is closed in order") {
+  PlatformFixture fixture(1, 1);
+  fixture.worker("writer-0").stream_events = 100;
+  RawClient client(fixture.node->address());
   client.write(PlatformFixture::request("a1"));
-  s.run_for(200);
-  s.node->close();
-  s.run_for(100);
-  CHECK(!s.node->settled());
-  s.run_for(2500);
+  fixture.run_for(200);
+  fixture.node->close();
+  fixture.run_for(100);
+  CHECK(!fixture.node->settled());
+  fixture.run_for(2500);
   client.read();
   CHECK(is_complete_stream(client.text()));
   CHECK(client.ended());
   CHECK(!client.reset());
-  CHECK(s.node->settled());
+  CHECK(fixture.node->settled());
 }
 
-// Guards against a request that was read with the one before it, and whose connection then ends without its answer.
-TEST_CASE("requests that were read behind another one as the process drains or closes are answered, each") {
-  for (const bool closes : {false, true}) {
-    CAPTURE(closes);
-    PlatformFixture s(1, 1);
-    s.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 200 * kMs, true}};
-    RawClient client(s.node->address());
+// Guards against a connection that closes without a response to a request that was read together with the one
+// before it.
+TEST_CASE("requests that were read behind another one as the process drains or closes are all answered") {
+  for (const bool closing : {false, true}) {
+    CAPTURE(closing);
+    PlatformFixture fixture(1, 1);
+    fixture.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 200 * kMs, true}};
+    RawClient client(fixture.node->address());
     client.write(PlatformFixture::request("a1") + PlatformFixture::request("a2") +
                  PlatformFixture::request("a3").substr(0, 50));
-    s.run_for(100);
-    closes ? s.node->close() : s.node->drain();
-    s.run_for(400);
+    fixture.run_for(100);
+    closing ? fixture.node->close() : fixture.node->drain();
+    fixture.run_for(400);
     client.write(PlatformFixture::request("a3").substr(50));
-    s.run_for(500);
+    fixture.run_for(500);
     client.read();
-    std::size_t answers = 0;
-    for (std::size_t at = 0; (at = client.text().find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++answers;
-    CHECK(answers == 3);
+    std::size_t responses = 0;
+    for (std::size_t at = 0; (at = client.text().find("HTTP/1.1 ", at)) != std::string::npos; ++at)
+      ++responses;
+    CHECK(responses == 3);
     CHECK(client.text().starts_with("HTTP/1.1 200"));
     CHECK(client.ended());
     CHECK(!client.reset());
   }
 }
 
-// What is read after the end of a connection cannot be answered. Left unread, the kernel tells its client by a reset, and the
-// client sends it again.
-TEST_CASE("a request that comes once its connection has been ended is not read") {
-  for (const bool between : {true, false}) {  // ended between two requests, or after an answer that ends it
-    CAPTURE(between);
-    PlatformFixture s(1, 1);
-    RawClient client(s.node->address());
+// Guards against reading a request that can no longer be answered. Left unread, the kernel resets the
+// connection, and the client sends the request again.
+TEST_CASE("a request that arrives after its connection was closed is not read") {
+  // Closed between two requests, or after a response that closes it.
+  for (const bool between_requests : {true, false}) {
+    CAPTURE(between_requests);
+    PlatformFixture fixture(1, 1);
+    RawClient client(fixture.node->address());
     client.write(PlatformFixture::request("a1"));
-    if (!between) s.run_for(30), s.node->drain();
-    s.run_for(300);
-    if (between) s.node->drain(), s.run_for(5);
+    if (!between_requests) {
+      fixture.run_for(30);
+      fixture.node->drain();
+    }
+    fixture.run_for(300);
+    if (between_requests) {
+      fixture.node->drain();
+      fixture.run_for(5);
+    }
     client.read();
     REQUIRE(is_complete_stream(client.text()));
     REQUIRE(client.ended());
     client.write(PlatformFixture::request("a2"));
-    s.run_for(1500);
-    CHECK(client.write(" ") == 0);  // the reset has come
-    CHECK(s.count_requests("POST") == 2);
+    fixture.run_for(1500);
+    CHECK(client.write(" ") == 0);  // the reset has arrived
+    CHECK(fixture.count_requests("POST") == 2);
   }
 }
 
