--- a/router/attempt_guard.h
+++ b/router/attempt_guard.h
@@ -1,6 +1,6 @@
-// The one place at which an attempt's request may begin to leave, and at which a repeat may: asked as the first byte is about
-// to be written, since much may have happened since the decision while a connection was being made. Free of sockets and
-// clocks.
+// Decides whether an attempt, or the repeat of one, may still be written to its worker. Checked as its first
+// byte is about to be written: the situation may have changed since the scheduling decision, while a
+// connection was being made. Uses no sockets and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -9,36 +9,38 @@
 
 namespace cressrill::router {
 
-// What is known of an attempt, its request and its worker. Times are on the monotonic clock.
-struct AttemptFacts {
+// The state of an attempt, its request and its worker. Times are on the monotonic clock.
+struct BeginConditions {
   Nanos now{};
-  Nanos decided{};          // when the module decided for it
-  Nanos deadline{};         // after which it is not waited for
-  Nanos begin_by{kNever};   // of a repeat that is recognised for a while only
-  Nanos not_ready_since{};  // its worker was told to drain or to be gone; 0: it is ready
-  Nanos drain_grace{};      // for which it may still be sent to
-  Nanos client_left{};      // 0: the client is there
-  bool ended{};             // the attempt has been ended meanwhile
-  bool answered{};          // the request has its final answer
+  Nanos decided_at{};            // when the policy decided on it
+  Nanos deadline{};              // after which its response is no longer awaited
+  Nanos write_deadline{kNever};  // of a repeat that its worker recognises only for a while
+  Nanos not_ready_since{};       // when its worker was first listed as draining or gone; 0: it is ready
+  Nanos drain_grace{};           // how long a draining worker may still be sent requests
+  Nanos client_left_at{};        // 0: the client is connected
+  bool ended{};                  // the attempt has ended in the meantime
+  bool request_answered{};       // the request has its final outcome
 };
 
 enum class BeginRefusal { none, ended, answered, client_left, worker_drains, deadline_passed, window_passed };
 
 inline const char* to_string(BeginRefusal refusal) {
-  static constexpr const char* words[] = {"none",          "ended",           "answered",     "client_left",
+  static constexpr const char* names[] = {"none",          "ended",           "answered",     "client_left",
                                           "worker_drains", "deadline_passed", "window_passed"};
-  return words[static_cast<int>(refusal)];
+  return names[static_cast<int>(refusal)];
 }
 
-// Half of a drain's grace is left to a process that is held up between this and its write.
-inline BeginRefusal refuses_to_begin(const AttemptFacts& facts) {
-  if (facts.ended) return BeginRefusal::ended;
-  if (facts.answered) return BeginRefusal::answered;
-  if (facts.client_left > 0) return BeginRefusal::client_left;
-  const bool drains = facts.not_ready_since > facts.decided;
-  if (drains && facts.now - facts.not_ready_since > facts.drain_grace / 2) return BeginRefusal::worker_drains;
-  if (facts.now >= facts.deadline) return BeginRefusal::deadline_passed;
-  if (facts.now >= facts.begin_by) return BeginRefusal::window_passed;
+// Returns why the attempt must not begin, or none. Half of the drain grace is kept as a margin for a process
+// that is delayed between this check and the write.
+inline BeginRefusal check_begin(const BeginConditions& conditions) {
+  if (conditions.ended) return BeginRefusal::ended;
+  if (conditions.request_answered) return BeginRefusal::answered;
+  if (conditions.client_left_at > 0) return BeginRefusal::client_left;
+  const bool draining = conditions.not_ready_since > conditions.decided_at;
+  if (draining && conditions.now - conditions.not_ready_since > conditions.drain_grace / 2)
+    return BeginRefusal::worker_drains;
+  if (conditions.now >= conditions.deadline) return BeginRefusal::deadline_passed;
+  if (conditions.now >= conditions.write_deadline) return BeginRefusal::window_passed;
   return BeginRefusal::none;
 }
 
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -7,329 +7,363 @@
 
 namespace {
 
-constexpr std::size_t kOutbox = 64 * 1024;       // bytes that may wait for one client
-constexpr std::size_t kWhole = 8 * 1024 * 1024;  // bytes of a whole answer
-constexpr int kInformed = 16;                    // 1xx answers ahead of one
+constexpr std::size_t kMaxOutboxBytes = 64 * 1024;  // buffered for one client before its stream is paused
+constexpr std::size_t kMaxBufferedResponseBytes = 8 * 1024 * 1024;
+constexpr int kMaxInformationalResponses = 16;  // 1xx responses ahead of the final one
 
 const char* to_string(Outcome outcome) {
-  static constexpr const char* words[] = {"generated", "read",      "error",          "full",
+  static constexpr const char* names[] = {"generated", "read",      "error",          "full",
                                           "no_state",  "timed_out", "connect_failed", "connection_lost",
                                           "cancelled", "not_sent"};
-  return words[static_cast<int>(outcome)];
+  return names[static_cast<int>(outcome)];
 }
 
-// An answer that was cut off, or one that cannot be read: both may have run, but the second is no lost machine.
-Outcome lost(http::MessageError fault) {
-  const bool cut = fault == http::MessageError::none || fault == http::MessageError::closed;
+// The outcome of a response that was cut off or could not be parsed. The attempt may have run in both cases,
+// but only the first counts as a lost connection.
+Outcome outcome_of_error(http::MessageError error) {
+  const bool cut = error == http::MessageError::none || error == http::MessageError::closed;
   return cut ? Outcome::connection_lost : Outcome::error;
 }
 
-// What the end of an attempt says of what is held. Where no answer came, a request that left whole may have arrived.
-HoldEvent hold_event(bool reads, Outcome outcome, bool answered, bool may_have_arrived) {
+// What the end of an attempt implies for the KV cache that is held. Without a response, a request that was
+// written completely may have arrived.
+HoldEvent hold_event(bool is_prefill, Outcome outcome, bool response_received, bool may_have_arrived) {
   switch (outcome) {
     case Outcome::prefill_done:
       return HoldEvent::prefill_done;
     case Outcome::kv_missing:
-      return reads ? HoldEvent::prefill_failed : HoldEvent::cache_missing;
+      return is_prefill ? HoldEvent::prefill_failed : HoldEvent::cache_missing;
     case Outcome::full:
-      return reads ? HoldEvent::prefill_refused : HoldEvent::decode_answered;
-    case Outcome::generated:  // refused, with an answer that is the client's: no promise that nothing has run
-      return reads ? HoldEvent::prefill_failed : HoldEvent::decode_answered;
+      return is_prefill ? HoldEvent::prefill_refused : HoldEvent::decode_answered;
+    case Outcome::generated:  // a client error: it does not guarantee that nothing has run
+      return is_prefill ? HoldEvent::prefill_failed : HoldEvent::decode_answered;
     default:
       break;
   }
-  if (!may_have_arrived) return reads ? HoldEvent::prefill_refused : HoldEvent::decode_not_run;
-  if (outcome == Outcome::error && answered)
-    return reads ? HoldEvent::prefill_failed : HoldEvent::decode_answered;
-  return reads ? HoldEvent::prefill_lost : HoldEvent::decode_lost;
+  if (!may_have_arrived) return is_prefill ? HoldEvent::prefill_refused : HoldEvent::decode_not_run;
+  if (outcome == Outcome::error && response_received)
+    return is_prefill ? HoldEvent::prefill_failed : HoldEvent::decode_answered;
+  return is_prefill ? HoldEvent::prefill_lost : HoldEvent::decode_lost;
 }
 
 }  // namespace
 
-const char* to_string(RequestOutcome final) {
-  static constexpr const char* words[] = {"none",    "generated", "rejected",
+const char* to_string(RequestOutcome outcome) {
+  static constexpr const char* names[] = {"none",    "generated", "rejected",
                                           "aborted", "broken",    "engine_refused"};
-  return words[static_cast<int>(final)];
+  return names[static_cast<int>(outcome)];
 }
 
-Host::Host(io::Loop& loop, const core::RouterConfig& station, core::Log& log, core::Counters& counters,
-           Protocol& protocol, std::uint64_t seed, const PolicyFactory& make)
+Host::Host(io::Loop& loop, const core::RouterConfig& config, core::Log& log, core::Counters& counters,
+           Protocol& protocol, std::uint64_t seed, const PolicyFactory& create_policy)
     : loop_(loop),
-      station_(station),
+      config_(config),
       log_(log),
       counters_(counters),
       protocol_(protocol),
-      manner_(protocol.traits()),
+      traits_(protocol.traits()),
       invariants_(log, counters),
-      fleet_(loop, station, log),
+      fleet_(loop, config, log),
       traces_(loop, log, fleet_),
-      releaser_(loop, fleet_, log, counters, invariants_, traces_, station.settings.kv_hold_limit,
-                [this](const KvLease& lease) { cache_released(lease); }),
-      posted_(loop),
-      policy_(make(station.settings, seed, loop.now(), *this)),
-      errands_(loop),
-      pump_(loop) {
-  pump_.spawn(pump());
+      releaser_(loop, fleet_, log, counters, invariants_, traces_, config.settings.kv_hold_limit,
+                [this](const KvLease& lease) { handle_kv_released(lease); }),
+      input_queued_(loop),
+      policy_(create_policy(config.settings, seed, loop.now(), *this)),
+      wakeups_(loop),
+      input_task_(loop) {
+  input_task_.spawn(process_inputs());
 }
 
 Host::~Host() {
-  pump_.cancel();
-  errands_.cancel();
+  input_task_.cancel();
+  wakeups_.cancel();
   releaser_.cancel();
-  for (const auto& ask : asks_)
-    if (ask)
-      for (const auto& run : ask->runs) run->scope.cancel();
+  for (const auto& request : requests_)
+    if (request)
+      for (const auto& attempt : request->attempts) attempt->scope.cancel();
 }
 
 // Inputs.
 
-void Host::put(Input input) {
-  inbox_.push_back(std::move(input));
-  posted_.notify();
+void Host::enqueue(Input input) {
+  input_queue_.push_back(std::move(input));
+  input_queued_.notify();
 }
 
-// An exception out of the decisions leaves them in a state that nobody knows: the process ends, and is started anew.
-io::Task<> Host::pump() {
+// An exception from the policy leaves its state undefined: the process terminates (deliver_or_terminate() is
+// noexcept) and is restarted.
+io::Task<> Host::process_inputs() {
   for (;;) {
-    co_await posted_.wait();
-    while (!inbox_.empty()) {
-      std::swap(inbox_, telling_);
-      for (Input& input : telling_) tell_or_end(input);
-      telling_.clear();
+    co_await input_queued_.wait();
+    while (!input_queue_.empty()) {
+      std::swap(input_queue_, input_batch_);
+      for (Input& input : input_batch_) deliver_or_terminate(input);
+      input_batch_.clear();
     }
   }
 }
 
-void Host::tell_or_end(Input& input) noexcept { tell(input); }
+void Host::deliver_or_terminate(Input& input) noexcept { deliver(input); }
 
-void Host::tell(Input& input) {
+void Host::deliver(Input& input) {
   const Nanos now = loop_.now();
-  switch (input.what) {
-    case Input::What::list:
+  switch (input.kind) {
+    case Input::Kind::list:
       return fleet_.apply_list(*input.list, *policy_);
-    case Input::What::list_failed:
+    case Input::Kind::list_failed:
       return policy_->list_failed(now);
-    case Input::What::woke:
+    case Input::Kind::wakeup:
       return policy_->on_wakeup(now);
     default:
       break;
   }
-  ActiveRequest& ask = *input.ask;
-  if (asks_[static_cast<std::size_t>(ask.seq)].get() != &ask) return;  // forgotten meanwhile
-  switch (input.what) {
-    case Input::What::came:
-      policy_->request_arrived(now, ask.seq, ask.brief.type, ask.brief.tenant, ask.brief.session,
-                               ask.brief.prefix_hash, ask.brief.prompt_tokens, ask.brief.prefix_tokens,
-                               ask.brief.max_output_tokens, ask.abandon_at);
+  ActiveRequest& request = *input.request;
+  if (requests_[static_cast<std::size_t>(request.index)].get() != &request) return;  // forgotten meanwhile
+  switch (input.kind) {
+    case Input::Kind::arrived:
+      policy_->request_arrived(now, request.index, request.info.type, request.info.tenant,
+                               request.info.session, request.info.prefix_hash, request.info.prompt_tokens,
+                               request.info.prefix_tokens, request.info.max_output_tokens, request.deadline);
       break;
-    case Input::What::client_left:
-      end_lease(ask);
-      policy_->client_left(now, ask.seq);
-      // A stream that nobody reads ends; no one can cancel it but its host.
-      if (ask.bound >= 0) end(ask, ask.bound, Outcome::cancelled);
+    case Input::Kind::client_left:
+      report_request_over(request);
+      policy_->client_left(now, request.index);
+      // A stream without a reader is ended here: the policy cannot cancel an attempt once its stream has
+      // started.
+      if (request.streaming_attempt >= 0) end_attempt(request, request.streaming_attempt, Outcome::cancelled);
       break;
-    case Input::What::began: {
-      const ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(input.attempt)];
-      note_kv(ask, HoldEvent::decode_begun, input.attempt);
-      // The fetch took the state; what else is held for the sequence is of no more use.
-      for (std::size_t k = 0; k < ask.runs.size(); ++k) {
-        if (static_cast<int>(k) == run.takes) ask.runs[k]->holds_state = false;
-        if (ask.runs[k]->holds_state && !manner_.single_release) release_prefill(ask, static_cast<int>(k));
+    case Input::Kind::stream_started: {
+      const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(input.attempt_index)];
+      record_kv_event(request, HoldEvent::decode_begun, input.attempt_index);
+      // The decode worker has fetched the KV cache; what other prefills left for this request is no longer
+      // needed.
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (static_cast<int>(i) == attempt.kv_source) request.attempts[i]->holds_kv = false;
+        if (request.attempts[i]->holds_kv && !traits_.single_release)
+          release_prefill(request, static_cast<int>(i));
       }
-      // No further attempt will need the body; another that is still out may be writing it.
-      if (std::ranges::none_of(ask.runs, [&](const auto& r) { return r->out && r.get() != &run; })) {
-        ask.talk().drop_body();
+      // No further attempt will need the body, but another outstanding one may still be writing it.
+      if (std::ranges::none_of(request.attempts, [&](const auto& other) {
+            return other->outstanding && other.get() != &attempt;
+          })) {
+        request.exchange().drop_body();
       }
-      policy_->stream_started(now, ask.seq, input.attempt, now - run.sent);
-      if (ask.client_left) end(ask, input.attempt, Outcome::cancelled);
+      policy_->stream_started(now, request.index, input.attempt_index, now - attempt.decided_at);
+      if (request.client_left) end_attempt(request, input.attempt_index, Outcome::cancelled);
       break;
     }
-    case Input::What::ended:
-      tell_ended(ask, input);
+    case Input::Kind::attempt_ended:
+      deliver_attempt_end(request, input);
       break;
-    case Input::What::cache_released:
-      policy_->kv_released(now, ask.seq);
+    case Input::Kind::kv_released:
+      policy_->kv_released(now, request.index);
       break;
     default:
       break;
   }
 }
 
-void Host::tell_ended(ActiveRequest& ask, const Input& input) {
-  ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(input.attempt)];
-  if (!run.out) return;
-  run.out = false;
-  run.scope.cancel();
-  trace(ask, TraceStep::ended, input.attempt, to_string(input.outcome));
-  if (run.written && !run.begun) {
-    const bool may_have_arrived = run.whole || (run.written && !manner_.partial_request_never_runs);
-    note_kv(ask, hold_event(run.reads, input.outcome, run.answered, may_have_arrived), input.attempt);
+void Host::deliver_attempt_end(ActiveRequest& request, const Input& input) {
+  ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(input.attempt_index)];
+  if (!attempt.outstanding) return;
+  attempt.outstanding = false;
+  attempt.scope.cancel();
+  add_trace(request, TraceStep::ended, input.attempt_index, to_string(input.outcome));
+  if (attempt.write_started && !attempt.stream_started) {
+    const bool may_have_arrived =
+        attempt.fully_written || (attempt.write_started && !traits_.partial_request_never_runs);
+    record_kv_event(
+        request, hold_event(attempt.is_prefill, input.outcome, attempt.response_received, may_have_arrived),
+        input.attempt_index);
   }
-  if (ask.bound == input.attempt)
-    settle(ask, input.outcome == Outcome::generated ? RequestOutcome::generated : RequestOutcome::broken);
-  else if (ask.engine_refused && ask.final == RequestOutcome::none)
-    settle(ask, RequestOutcome::engine_refused);
-  // A read that was left may leave a state behind that no one will be told of.
-  if (!manner_.single_release && run.reads &&
+  if (request.streaming_attempt == input.attempt_index)
+    set_outcome(request,
+                input.outcome == Outcome::generated ? RequestOutcome::generated : RequestOutcome::broken);
+  else if (request.engine_refused && request.outcome == RequestOutcome::none)
+    set_outcome(request, RequestOutcome::engine_refused);
+  // A prefill that is no longer awaited may leave KV cache behind that nothing would report.
+  if (!traits_.single_release && attempt.is_prefill &&
       (input.outcome == Outcome::cancelled || input.outcome == Outcome::timed_out))
-    release_prefill(ask, input.attempt);
-  counters_.count_attempt(run.reads ? "read" : "write", to_string(input.outcome));
-  log_.debug("attempt ended", {{"sequence", ask.brief.id},
-                               {"attempt", input.attempt},
-                               {"worker", fleet_.at(run.worker).listed.name},
-                               {"stage", run.reads ? "read" : "write"},
-                               {"outcome", to_string(input.outcome)},
-                               {"after_ms", (run.sent - ask.came) / io::kMs},
-                               {"first_ms", run.first > 0 ? (run.first - run.sent) / io::kMs : -1},
-                               {"took_ms", (loop_.now() - run.sent) / io::kMs},
-                               {"connection_stood_ms", run.stood < 0 ? -1 : run.stood / io::kMs},
-                               {"kept", input.kept},
-                               {"held_there", input.report.requests},
-                               {"memory_share", input.report.memory_share}});
-  policy_->attempt_ended(loop_.now(), ask.seq, input.attempt, input.outcome, loop_.now() - run.sent,
-                         ask.final != RequestOutcome::none || ask.client_left, input.kept, input.report);
+    release_prefill(request, input.attempt_index);
+  counters_.count_attempt(attempt.is_prefill ? "read" : "write", to_string(input.outcome));
+  log_.debug("attempt ended",
+             {{"sequence", request.info.id},
+              {"attempt", input.attempt_index},
+              {"worker", fleet_.at(attempt.worker).listed.name},
+              {"stage", attempt.is_prefill ? "read" : "write"},
+              {"outcome", to_string(input.outcome)},
+              {"after_ms", (attempt.decided_at - request.arrived_at) / io::kMs},
+              {"first_ms",
+               attempt.first_event_at > 0 ? (attempt.first_event_at - attempt.decided_at) / io::kMs : -1},
+              {"took_ms", (loop_.now() - attempt.decided_at) / io::kMs},
+              {"connection_stood_ms",
+               attempt.connection_idle_time < 0 ? -1 : attempt.connection_idle_time / io::kMs},
+              {"kept", input.cached_tokens},
+              {"held_there", input.report.requests},
+              {"memory_share", input.report.memory_share}});
+  policy_->attempt_ended(
+      loop_.now(), request.index, input.attempt_index, input.outcome, loop_.now() - attempt.decided_at,
+      request.outcome != RequestOutcome::none || request.client_left, input.cached_tokens, input.report);
 }
 
 void Host::update_list(const core::WorkerList& list) {
-  put({.what = Input::What::list, .ask = {}, .list = std::make_shared<const core::WorkerList>(list)});
+  enqueue({.kind = Input::Kind::list, .request = {}, .list = std::make_shared<const core::WorkerList>(list)});
 }
-void Host::list_failed() { put({.what = Input::What::list_failed, .ask = {}, .list = {}}); }
+void Host::list_failed() { enqueue({.kind = Input::Kind::list_failed, .request = {}, .list = {}}); }
 
 // Actions.
 
-void Host::send(int seq, int worker, AttemptLimits limits) {
-  const std::shared_ptr<ActiveRequest>& ask = asks_[static_cast<std::size_t>(seq)];
-  const int k = static_cast<int>(ask->runs.size());
-  ask->runs.push_back(std::make_unique<ActiveAttempt>(loop_, worker, fleet_.role(worker) == Role::prefill));
-  ActiveAttempt& run = *ask->runs.back();
-  run.sent = loop_.now();
-  run.deadline = limits.timeout > 0 ? std::min(ask->abandon_at, run.sent + limits.timeout) : ask->abandon_at;
-  run.begin_by = limits.write_deadline;
-  run.runs_for = limits.assumed_run_time;
-  trace(*ask, TraceStep::decided, k, run.reads ? "prefill" : "decode");
-  if (!run.reads && ask->state_run >= 0 && ask->runs[static_cast<std::size_t>(ask->state_run)]->holds_state)
-    run.takes = ask->state_run;
-  run.scope.spawn(contained(ask, k, attempt(ask, k)));
-  run.scope.spawn(out_of_time(ask, k));
-}
-
-void Host::release(int seq) {
-  // Where one release frees all, its time follows from what is known of the request (KvHold), and from its end.
-  if (manner_.single_release)
-    return note_kv(*asks_[static_cast<std::size_t>(seq)], HoldEvent::release_wanted);
-  ActiveRequest& ask = *asks_[static_cast<std::size_t>(seq)];
-  for (std::size_t k = 0; k < ask.runs.size(); ++k) {
-    const bool awaited = std::ranges::any_of(
-        ask.runs, [&](const auto& r) { return r->out && !r->ended && r->takes == static_cast<int>(k); });
-    if (ask.runs[k]->holds_state && !awaited) release_prefill(ask, static_cast<int>(k));
+void Host::send(int request_index, int worker, AttemptLimits limits) {
+  const std::shared_ptr<ActiveRequest>& request = requests_[static_cast<std::size_t>(request_index)];
+  const int attempt_index = static_cast<int>(request->attempts.size());
+  request->attempts.push_back(
+      std::make_unique<ActiveAttempt>(loop_, worker, fleet_.role(worker) == Role::prefill));
+  ActiveAttempt& attempt = *request->attempts.back();
+  attempt.decided_at = loop_.now();
+  attempt.deadline = limits.timeout > 0 ? std::min(request->deadline, attempt.decided_at + limits.timeout)
+                                        : request->deadline;
+  attempt.write_deadline = limits.write_deadline;
+  attempt.assumed_run_time = limits.assumed_run_time;
+  add_trace(*request, TraceStep::decided, attempt_index, attempt.is_prefill ? "prefill" : "decode");
+  if (!attempt.is_prefill && request->last_kv_attempt >= 0 &&
+      request->attempts[static_cast<std::size_t>(request->last_kv_attempt)]->holds_kv)
+    attempt.kv_source = request->last_kv_attempt;
+  attempt.scope.spawn(run_contained(request, attempt_index, run_attempt(request, attempt_index)));
+  attempt.scope.spawn(enforce_deadline(request, attempt_index));
+}
+
+void Host::release(int request_index) {
+  // Where a single release frees everything, KvHold decides when it is sent.
+  if (traits_.single_release)
+    return record_kv_event(*requests_[static_cast<std::size_t>(request_index)], HoldEvent::release_wanted);
+  ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
+  for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+    const bool awaited = std::ranges::any_of(request.attempts, [&](const auto& other) {
+      return other->outstanding && !other->end_queued && other->kv_source == static_cast<int>(i);
+    });
+    if (request.attempts[i]->holds_kv && !awaited) release_prefill(request, static_cast<int>(i));
   }
 }
 
-void Host::cancel(int seq, int attempt) {
-  ActiveRequest& ask = *asks_[static_cast<std::size_t>(seq)];
-  const ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(attempt)];
-  if (!run.begun) end(ask, attempt, run.written ? Outcome::cancelled : Outcome::not_sent);
+void Host::cancel(int request_index, int attempt_index) {
+  ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
+  const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  if (!attempt.stream_started)
+    end_attempt(request, attempt_index, attempt.write_started ? Outcome::cancelled : Outcome::not_sent);
 }
 
-void Host::reject(int seq, Nanos retry_after) {
-  ActiveRequest& ask = *asks_[static_cast<std::size_t>(seq)];
-  ask.retry_after = retry_after;
-  if (ask.bound < 0) settle(ask, RequestOutcome::rejected);  // once a stream flows, it is the answer
+void Host::reject(int request_index, Nanos retry_after) {
+  ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
+  request.retry_after = retry_after;
+  // Once a stream has started, it is the response.
+  if (request.streaming_attempt < 0) set_outcome(request, RequestOutcome::rejected);
 }
 
-void Host::abort(int seq) {
-  ActiveRequest& ask = *asks_[static_cast<std::size_t>(seq)];
-  if (ask.bound < 0) settle(ask, RequestOutcome::aborted);
+void Host::abort(int request_index) {
+  ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
+  if (request.streaming_attempt < 0) set_outcome(request, RequestOutcome::aborted);
 }
 
 void Host::request_wakeup(Nanos after) {
-  errands_.spawn([](Host& host, Nanos at) -> io::Task<> {
+  wakeups_.spawn([](Host& host, Nanos at) -> io::Task<> {
     co_await host.loop_.sleep_until(at);
-    host.put({.what = Input::What::woke, .ask = {}, .list = {}});
+    host.enqueue({.kind = Input::Kind::wakeup, .request = {}, .list = {}});
   }(*this, loop_.now() + after));
 }
 
-void Host::forget_request(int seq) {
-  ActiveRequest& ask = *asks_[static_cast<std::size_t>(seq)];
-  ask.talk().drop_body();  // a release may still need the rest
-  invariants_.check(core::Invariant::one_final_answer, ask.final != RequestOutcome::none || ask.client_left,
-                    ask.brief.id);
-  end_lease(ask);
-  asks_[static_cast<std::size_t>(seq)].reset();
-  free_.push_back(seq);
-  counters_.set_active_requests(--live_);
+void Host::forget_request(int request_index) {
+  ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
+  request.exchange().drop_body();  // a release may still need the other fields
+  invariants_.check(core::Invariant::one_final_answer,
+                    request.outcome != RequestOutcome::none || request.client_left, request.info.id);
+  report_request_over(request);
+  requests_[static_cast<std::size_t>(request_index)].reset();
+  free_indices_.push_back(request_index);
+  counters_.set_active_requests(--live_count_);
 }
 
-const std::string& Host::type_name(const ActiveRequest& ask) const {
-  return station_.type_rules[static_cast<std::size_t>(ask.brief.type)].name;
+const std::string& Host::type_name(const ActiveRequest& request) const {
+  return config_.type_rules[static_cast<std::size_t>(request.info.type)].name;
 }
 
-void Host::settle(ActiveRequest& ask, RequestOutcome final) {
-  if (ask.final != RequestOutcome::none) return;
-  ask.final = final;
-  ask.news.notify();
-  trace(ask, TraceStep::settled, -1, to_string(final));
-  end_lease(ask);
-  if (final != RequestOutcome::generated && final != RequestOutcome::engine_refused && !ask.runs.empty())
-    traces_.write(ask.brief.id, ask.kv->trace, "not served after attempts");
-  counters_.count_answer(type_name(ask), to_string(final));
-  log_.info("answered", {{"sequence", ask.brief.id},
-                         {"answer", to_string(final)},
-                         {"type", type_name(ask)},
-                         {"attempts", ask.runs.size()},
-                         {"took_ms", (loop_.now() - ask.came) / io::kMs}});
+void Host::set_outcome(ActiveRequest& request, RequestOutcome outcome) {
+  if (request.outcome != RequestOutcome::none) return;
+  request.outcome = outcome;
+  request.updated.notify();
+  add_trace(request, TraceStep::settled, -1, to_string(outcome));
+  report_request_over(request);
+  if (outcome != RequestOutcome::generated && outcome != RequestOutcome::engine_refused &&
+      !request.attempts.empty())
+    traces_.write(request.info.id, request.kv->trace, "not served after attempts");
+  counters_.count_answer(type_name(request), to_string(outcome));
+  log_.info("answered", {{"sequence", request.info.id},
+                         {"answer", to_string(outcome)},
+                         {"type", type_name(request)},
+                         {"attempts", request.attempts.size()},
+                         {"took_ms", (loop_.now() - request.arrived_at) / io::kMs}});
 }
 
 std::vector<Host::WorkerLoad> Host::worker_loads() const {
-  std::vector<WorkerLoad> out;
-  for (std::size_t w = 0; w < fleet_.entries().size(); ++w) {
-    if (!fleet_.entries()[w]) continue;
-    WorkerLoad load{fleet_.entries()[w]->listed.name, policy_->expected_load(static_cast<int>(w)), 0};
-    for (const auto& ask : asks_)
-      if (ask)
-        for (const auto& run : ask->runs)
-          load.in_flight += run->worker == static_cast<int>(w) && run->out && !run->begun;
-    out.push_back(std::move(load));
+  std::vector<WorkerLoad> loads;
+  for (std::size_t worker = 0; worker < fleet_.entries().size(); ++worker) {
+    if (!fleet_.entries()[worker]) continue;
+    WorkerLoad load{fleet_.entries()[worker]->listed.name, policy_->expected_load(static_cast<int>(worker)),
+                    0};
+    for (const auto& request : requests_)
+      if (request)
+        for (const auto& attempt : request->attempts)
+          load.in_flight +=
+              attempt->worker == static_cast<int>(worker) && attempt->outstanding && !attempt->stream_started;
+    loads.push_back(std::move(load));
   }
-  return out;
+  return loads;
 }
 
 // Attempts.
 
-void Host::end(ActiveRequest& ask, int k, Outcome outcome, double kept, const LoadReport& report) {
-  ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
-  if (run.ended) return;
-  run.ended = true;
-  put({Input::What::ended, asks_[static_cast<std::size_t>(ask.seq)], k, outcome, kept, report, {}});
-}
-
-io::Task<> Host::out_of_time(std::shared_ptr<ActiveRequest> ask, int k) {
-  const ActiveAttempt& run = *ask->runs[static_cast<std::size_t>(k)];
-  if (run.begin_by < run.deadline) {
-    co_await loop_.sleep_until(run.begin_by);
-    // Its last byte has not left, and may not from now on.
-    const bool idle = !run.written || manner_.partial_request_never_runs;
-    if (!run.whole) co_return end(*ask, k, idle ? Outcome::not_sent : Outcome::connection_lost);
+void Host::end_attempt(ActiveRequest& request, int attempt_index, Outcome outcome, double cached_tokens,
+                       const LoadReport& report) {
+  ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  if (attempt.end_queued) return;
+  attempt.end_queued = true;
+  enqueue({Input::Kind::attempt_ended,
+           requests_[static_cast<std::size_t>(request.index)],
+           attempt_index,
+           outcome,
+           cached_tokens,
+           report,
+           {}});
+}
+
+io::Task<> Host::enforce_deadline(std::shared_ptr<ActiveRequest> request, int attempt_index) {
+  const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
+  if (attempt.write_deadline < attempt.deadline) {
+    co_await loop_.sleep_until(attempt.write_deadline);
+    // The last byte has not been sent and must not be sent any more.
+    const bool not_run = !attempt.write_started || traits_.partial_request_never_runs;
+    if (!attempt.fully_written)
+      co_return end_attempt(*request, attempt_index, not_run ? Outcome::not_sent : Outcome::connection_lost);
   }
-  co_await loop_.sleep_until(run.deadline);
-  if (!run.begun) end(*ask, k, Outcome::timed_out);
+  co_await loop_.sleep_until(attempt.deadline);
+  if (!attempt.stream_started) end_attempt(*request, attempt_index, Outcome::timed_out);
 }
 
-// A stream has no deadline, but one that stands still has broken: its engine hangs. Watched from its first event on: the
-// attempt's own deadline may be far off. While its client is the slower one it is not read, and nothing can be said of
-// its engine; a client that takes nothing at all is ended by its connection (http::Server::limit_write_stall()).
-io::Task<> Host::out_of_life(std::shared_ptr<ActiveRequest> ask, int k) {
-  const ActiveAttempt& run = *ask->runs[static_cast<std::size_t>(k)];
+// A started stream has no deadline, but one without events for the stall timeout counts as broken, as its
+// engine hangs. This runs from the first event on, since the attempt's own deadline may be far off. While the
+// client is the slower side the stream is not read, which says nothing about the engine; a client that
+// accepts no data at all is disconnected by the server (http::Server::set_write_stall_timeout()).
+io::Task<> Host::enforce_stall_timeout(std::shared_ptr<ActiveRequest> request, int attempt_index) {
+  const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
   for (;;) {
-    const io::Nanos from = run.held_back ? loop_.now() : run.heard;
-    if (loop_.now() - from >= station_.stall_timeout) break;
-    co_await loop_.sleep_until(from + station_.stall_timeout);
+    const io::Nanos from = attempt.paused_for_client ? loop_.now() : attempt.last_event_at;
+    if (loop_.now() - from >= config_.stall_timeout) break;
+    co_await loop_.sleep_until(from + config_.stall_timeout);
   }
-  end(*ask, k, Outcome::connection_lost);
+  end_attempt(*request, attempt_index, Outcome::connection_lost);
 }
 
-// An exception ends the attempt that it comes from, and no other.
-io::Task<> Host::contained(std::shared_ptr<ActiveRequest> ask, int k, io::Task<> work) {
+// Runs work and turns an exception into the end of this attempt alone.
+io::Task<> Host::run_contained(std::shared_ptr<ActiveRequest> request, int attempt_index, io::Task<> work) {
   std::exception_ptr thrown;
   try {
     co_await std::move(work);
@@ -338,371 +372,419 @@
     thrown = std::current_exception();
   }
   loop_.report_task_failure(thrown);
-  const ActiveAttempt& run = *ask->runs[static_cast<std::size_t>(k)];
-  end(*ask, k, run.written ? Outcome::connection_lost : Outcome::not_sent);
+  const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
+  end_attempt(*request, attempt_index, attempt.write_started ? Outcome::connection_lost : Outcome::not_sent);
 }
 
-io::Task<> Host::attempt(std::shared_ptr<ActiveRequest> ask, int k) {
-  ActiveAttempt& run = *ask->runs[static_cast<std::size_t>(k)];
-  WorkerEntry& link = fleet_.at(run.worker);
+io::Task<> Host::run_attempt(std::shared_ptr<ActiveRequest> request, int attempt_index) {
+  ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
+  WorkerEntry& worker = fleet_.at(attempt.worker);
   for (;;) {
-    http::ConnectionLease lease(link.pool);
+    http::ConnectionLease lease(worker.pool);
     if (!co_await lease.acquire())
-      co_return end(*ask, k, lease.at_capacity() ? Outcome::not_sent : Outcome::connect_failed);
-    run.stood = lease->reused ? lease->idle_time : -1;
-    trace(*ask, TraceStep::connected, k);
-    if (run.reads && ask->kv->hold.release_precedes_prefill())
-      co_await releaser_.release_first(ask->kv.shared());
-    if (!may_begin(*ask, run)) co_return end(*ask, k, Outcome::not_sent);
-    // Noted before the first byte: a worker may hold something from then on.
-    run.write_began = loop_.now();
-    if (!std::exchange(run.written, true))
-      note_kv(*ask, run.reads ? HoldEvent::prefill_written : HoldEvent::decode_written, k);
-    const io::IoResult moved = co_await send_to(*ask, k, *lease);
-    trace(*ask, TraceStep::written, k, moved.ok() ? "whole" : "in part", moved.bytes);
-    if (!moved.ok()) {
-      // Nothing left this machine: a kept connection was stale, and another is made. Else it may be running.
-      if (moved.bytes == 0 && lease->reused) continue;
-      if (moved.bytes > 0) lease.record_loss();
-      const bool idle = moved.bytes == 0 || manner_.partial_request_never_runs;
-      co_return end(*ask, k, idle ? Outcome::connect_failed : Outcome::connection_lost);
+      co_return end_attempt(*request, attempt_index,
+                            lease.at_capacity() ? Outcome::not_sent : Outcome::connect_failed);
+    attempt.connection_idle_time = lease->reused ? lease->idle_time : -1;
+    add_trace(*request, TraceStep::connected, attempt_index);
+    if (attempt.is_prefill && request->kv->hold.release_precedes_prefill())
+      co_await releaser_.await_release_before_prefill(request->kv.shared());
+    if (!may_begin(*request, attempt)) co_return end_attempt(*request, attempt_index, Outcome::not_sent);
+    // Recorded before the first byte is written: from then on the worker may hold KV cache.
+    attempt.write_started_at = loop_.now();
+    if (!std::exchange(attempt.write_started, true))
+      record_kv_event(*request, attempt.is_prefill ? HoldEvent::prefill_written : HoldEvent::decode_written,
+                      attempt_index);
+    const io::IoResult result = co_await write_request(*request, attempt_index, *lease);
+    add_trace(*request, TraceStep::written, attempt_index, result.ok() ? "whole" : "in part", result.bytes);
+    if (!result.ok()) {
+      // If nothing was written, a reused connection was stale and another one is made. Otherwise the attempt
+      // may be running.
+      if (result.bytes == 0 && lease->reused) continue;
+      if (result.bytes > 0) lease.record_loss();
+      const bool not_run = result.bytes == 0 || traits_.partial_request_never_runs;
+      co_return end_attempt(*request, attempt_index,
+                            not_run ? Outcome::connect_failed : Outcome::connection_lost);
     }
     http::Head head;
-    http::MessageError fault{};
-    for (int i = 0; i == 0 || (fault == http::MessageError::none && head.status / 100 == 1 && i < kInformed);
+    http::MessageError error{};
+    for (int i = 0; i == 0 || (error == http::MessageError::none && head.status / 100 == 1 &&
+                               i < kMaxInformationalResponses);
          ++i)
-      fault = co_await lease->reader->read_head(head);
-    run.answered = fault != http::MessageError::closed;
-    if (run.answered) {
-      link.record_answer(run.write_began, loop_.now());
-      trace(*ask, TraceStep::answered, k);
+      error = co_await lease->reader->read_head(head);
+    attempt.response_received = error != http::MessageError::closed;
+    if (attempt.response_received) {
+      worker.record_answer(attempt.write_started_at, loop_.now());
+      add_trace(*request, TraceStep::answered, attempt_index);
     }
-    fault == http::MessageError::closed ? lease.record_loss()
-                                        : lease.record_response();  // what cannot be read came all the same
-    if (fault != http::MessageError::none) co_return end(*ask, k, lost(fault));
-    if (run.reads && lease->reader->has_more()) note_kv(*ask, HoldEvent::prefill_answered, k);
+    // A response that cannot be parsed still shows that the connection works.
+    error == http::MessageError::closed ? lease.record_loss() : lease.record_response();
+    if (error != http::MessageError::none)
+      co_return end_attempt(*request, attempt_index, outcome_of_error(error));
+    if (attempt.is_prefill && lease->reader->has_more())
+      record_kv_event(*request, HoldEvent::prefill_answered, attempt_index);
     const LoadReport report = protocol_.parse_load_report(head);
-    if (run.reads || head.status != 200) {
+    if (attempt.is_prefill || head.status != 200) {
       std::string body;
-      fault = co_await lease->reader->read_body(body);
-      if (fault != http::MessageError::none) co_return end(*ask, k, lost(fault));
+      error = co_await lease->reader->read_body(body);
+      if (error != http::MessageError::none)
+        co_return end_attempt(*request, attempt_index, outcome_of_error(error));
       if (head.keep_alive) lease.return_to_pool();
-      co_return answered(*ask, k, head, std::move(body), report);
+      co_return handle_response(*request, attempt_index, head, std::move(body), report);
     }
-    const bool whole = co_await stream(*ask, k, *lease, report);
-    if (whole && head.keep_alive) lease.return_to_pool();
+    const bool complete = co_await relay_stream(*request, attempt_index, *lease, report);
+    if (complete && head.keep_alive) lease.return_to_pool();
     co_return;
   }
 }
 
-AttemptFacts Host::facts(const ActiveRequest& ask, const ActiveAttempt& run) const {
+BeginConditions Host::begin_conditions(const ActiveRequest& request, const ActiveAttempt& attempt) const {
   return {.now = loop_.update_now(),
-          .decided = run.sent,
-          .deadline = run.deadline,
-          .begin_by = run.begin_by,
-          .not_ready_since = fleet_.at(run.worker).not_ready_since,
-          .drain_grace = station_.drain_grace,
-          .client_left = ask.client_left_at,
-          .ended = run.ended,
-          .answered = ask.final != RequestOutcome::none};
-}
-
-bool Host::may_begin(const ActiveRequest& ask, const ActiveAttempt& run) {
-  const BeginRefusal refusal = refuses_to_begin(facts(ask, run));
+          .decided_at = attempt.decided_at,
+          .deadline = attempt.deadline,
+          .write_deadline = attempt.write_deadline,
+          .not_ready_since = fleet_.at(attempt.worker).not_ready_since,
+          .drain_grace = config_.drain_grace,
+          .client_left_at = request.client_left_at,
+          .ended = attempt.end_queued,
+          .request_answered = request.outcome != RequestOutcome::none};
+}
+
+bool Host::may_begin(const ActiveRequest& request, const ActiveAttempt& attempt) {
+  const BeginRefusal refusal = check_begin(begin_conditions(request, attempt));
   if (refusal == BeginRefusal::none) return true;
   counters_.count_attempt_not_started(to_string(refusal));
-  log_.debug("attempt not begun", {{"sequence", ask.brief.id},
-                                   {"worker", fleet_.at(run.worker).listed.name},
+  log_.debug("attempt not begun", {{"sequence", request.info.id},
+                                   {"worker", fleet_.at(attempt.worker).listed.name},
                                    {"reason", to_string(refusal)}});
   return false;
 }
 
-// After the write: whether what the guard left for a hold-up was enough. told: the time that the worker was told.
-void Host::check_begun(const ActiveRequest& ask, const ActiveAttempt& run, io::Nanos told) {
+// Checks after the write that the margins of check_begin() covered any delay of this process since then.
+// timeout: the time limit that was sent to the worker.
+void Host::check_begin_invariants(const ActiveRequest& request, const ActiveAttempt& attempt,
+                                  io::Nanos timeout) {
   using core::Invariant;
-  constexpr io::Nanos kAfterLeaving = 100 * io::kMs;
+  constexpr io::Nanos kClientLeftSlack = 100 * io::kMs;
   constexpr io::Nanos kBudgetSlack = 150 * io::kMs;
-  constexpr io::Nanos kWindowSlack =
-      50 * io::kMs + 120 * io::kMs;  // begin_by lies so long before the window's end
-  const AttemptFacts at = facts(ask, run);
-  const auto check = [&](Invariant invariant, io::Nanos passed_by) {
-    invariants_.check(invariant, passed_by <= 0, ask.brief.id, passed_by / io::kMs);
+  // The policy sets the write deadline 120 ms before the end of the window.
+  constexpr io::Nanos kWindowSlack = 50 * io::kMs + 120 * io::kMs;
+  const BeginConditions conditions = begin_conditions(request, attempt);
+  const auto check = [&](Invariant invariant, io::Nanos overrun) {
+    invariants_.check(invariant, overrun <= 0, request.info.id, overrun / io::kMs);
   };
-  if (at.client_left > 0) check(Invariant::client_is_there, at.now - at.client_left - kAfterLeaving);
-  if (at.not_ready_since > at.decided)
-    check(Invariant::worker_takes_requests, at.now - at.not_ready_since - at.drain_grace);
-  if (at.begin_by != kNever) check(Invariant::repeat_in_window, at.now - at.begin_by - kWindowSlack);
-  check(Invariant::deadline_within_budget, told - (ask.abandon_at - at.now) - kBudgetSlack);
-}
-
-// What the router takes for its own answer at a client's deadline, as the module does.
-io::Nanos Host::answer_margin() const {
-  constexpr io::Nanos kOwnPart = 10 * io::kMs;
-  return 2 * station_.settings.tick + kOwnPart;
-}
-
-AttemptInfo Host::described(const ActiveRequest& ask, int k) const {
-  const ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
-  // Read as the request is about to leave: a deadline that is passed on late would be longer than what the client has left.
-  const io::Nanos until = std::min(run.deadline, ask.abandon_at - answer_margin());
-  AttemptInfo out{k, run.reads, fleet_.at(run.worker).listed.address, {}, until - loop_.update_now()};
-  if (run.takes >= 0) out.kv_transfer_params = ask.runs[static_cast<std::size_t>(run.takes)]->state;
-  return out;
-}
-
-// In a coroutine of its own: what it builds is gone while the stream flows.
-io::Task<io::IoResult> Host::send_to(ActiveRequest& ask, int k, http::Connection& connection) {
+  if (conditions.client_left_at > 0)
+    check(Invariant::client_is_there, conditions.now - conditions.client_left_at - kClientLeftSlack);
+  if (conditions.not_ready_since > conditions.decided_at)
+    check(Invariant::worker_takes_requests,
+          conditions.now - conditions.not_ready_since - conditions.drain_grace);
+  if (conditions.write_deadline != kNever)
+    check(Invariant::repeat_in_window, conditions.now - conditions.write_deadline - kWindowSlack);
+  check(Invariant::deadline_within_budget, timeout - (request.deadline - conditions.now) - kBudgetSlack);
+}
+
+// The time reserved for the router's own response before a client's deadline; the policy reserves the same.
+io::Nanos Host::response_margin() const {
+  constexpr io::Nanos kResponseTime = 10 * io::kMs;
+  return 2 * config_.settings.tick + kResponseTime;
+}
+
+AttemptInfo Host::attempt_info(const ActiveRequest& request, int attempt_index) const {
+  const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  // The clock is read just before the write: a time limit computed earlier would exceed what the client has
+  // left.
+  const io::Nanos until = std::min(attempt.deadline, request.deadline - response_margin());
+  AttemptInfo info{attempt_index,
+                   attempt.is_prefill,
+                   fleet_.at(attempt.worker).listed.address,
+                   {},
+                   until - loop_.update_now()};
+  if (attempt.kv_source >= 0)
+    info.kv_transfer_params =
+        request.attempts[static_cast<std::size_t>(attempt.kv_source)]->kv_transfer_params;
+  return info;
+}
+
+// A separate coroutine, so that the request text is freed before the response is read.
+io::Task<io::IoResult> Host::write_request(ActiveRequest& request, int attempt_index,
+                                           http::Connection& connection) {
   RequestText text;
-  const AttemptInfo attempt = described(ask, k);
-  ask.talk().build_request(attempt, text);
-  const io::IoResult moved = co_await connection.socket.write_all(text.body.parts);
-  ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
-  run.whole = moved.ok();
-  if (moved.bytes > 0) check_begun(ask, run, attempt.timeout);
-  co_return moved;
-}
-
-void Host::answered(ActiveRequest& ask, int k, const http::Head& head, std::string body,
-                    const LoadReport& report) {
-  ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
-  if (run.ended) return;
-  ResponseMeaning meaning = ask.talk().interpret_response(described(ask, k), head, std::move(body));
-  if (meaning.is_client_error && ask.final == RequestOutcome::none && ask.bound < 0) {
-    ask.engine_refused = true;
-    return end(ask, k, Outcome::generated, 0, report);
+  const AttemptInfo info = attempt_info(request, attempt_index);
+  request.exchange().build_request(info, text);
+  const io::IoResult result = co_await connection.socket.write_all(text.body.parts);
+  ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  attempt.fully_written = result.ok();
+  if (result.bytes > 0) check_begin_invariants(request, attempt, info.timeout);
+  co_return result;
+}
+
+void Host::handle_response(ActiveRequest& request, int attempt_index, const http::Head& head,
+                           std::string body, const LoadReport& report) {
+  ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  if (attempt.end_queued) return;
+  ResponseMeaning meaning =
+      request.exchange().interpret_response(attempt_info(request, attempt_index), head, std::move(body));
+  if (meaning.is_client_error && request.outcome == RequestOutcome::none && request.streaming_attempt < 0) {
+    request.engine_refused = true;
+    return end_attempt(request, attempt_index, Outcome::generated, 0, report);
   }
-  if (meaning.outcome == Outcome::kv_missing && run.takes >= 0)
-    ask.runs[static_cast<std::size_t>(run.takes)]->holds_state = false;
+  if (meaning.outcome == Outcome::kv_missing && attempt.kv_source >= 0)
+    request.attempts[static_cast<std::size_t>(attempt.kv_source)]->holds_kv = false;
   if (meaning.outcome == Outcome::prefill_done) {
-    run.holds_state = true;
-    run.state = std::move(meaning.kv_transfer_params), ask.state_run = k;
+    attempt.holds_kv = true;
+    attempt.kv_transfer_params = std::move(meaning.kv_transfer_params);
+    request.last_kv_attempt = attempt_index;
   }
-  end(ask, k, meaning.outcome, meaning.cached_tokens, report);
+  end_attempt(request, attempt_index, meaning.outcome, meaning.cached_tokens, report);
 }
 
-// Passes a stream on. True when it came to its proper end.
-io::Task<bool> Host::stream(ActiveRequest& ask, int k, http::Connection& connection,
-                            const LoadReport& at_head) {
-  ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
+// Relays a response stream to the client's outbox. Returns true when the stream ended properly.
+io::Task<bool> Host::relay_stream(ActiveRequest& request, int attempt_index, http::Connection& connection,
+                                  const LoadReport& initial_report) {
+  ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
   http::SseParser events;
-  LoadReport report = at_head;
-  double kept = 0;
-  bool last = false;
-  http::MessageError fault{};
+  LoadReport report = initial_report;
+  double cached_tokens = 0;
+  bool last_event_received = false;
+  http::MessageError error{};
   while (connection.reader->has_more()) {
     std::span<const std::string_view> pieces;
-    fault = co_await connection.reader->read_body_pieces(pieces);
+    error = co_await connection.reader->read_body_pieces(pieces);
     for (const std::string_view piece : pieces) {
       events.feed(piece);
       while (const auto data = events.next()) {
-        // An event, not any byte: half a line and then nothing is a stream that stands still.
-        run.heard = loop_.now();
-        const StreamEvent heard = ask.talk().interpret_event(*data, run.begun);
-        if (!heard.readable || ask.talk().buffered_bytes() > kWhole) {
-          end(ask, k, Outcome::error, 0, report);
+        // Only complete events count as progress: a partial line followed by nothing is a stalled stream.
+        attempt.last_event_at = loop_.now();
+        const StreamEvent event = request.exchange().interpret_event(*data, attempt.stream_started);
+        if (!event.readable || request.exchange().buffered_bytes() > kMaxBufferedResponseBytes) {
+          end_attempt(request, attempt_index, Outcome::error, 0, report);
           co_return false;
         }
-        last = last || heard.is_last;
-        if (heard.cached_tokens > 0) kept = heard.cached_tokens;
-        if (heard.has_content && !run.begun) {
-          if (run.ended || ask.bound >= 0 || ask.final != RequestOutcome::none || ask.client_left) {
-            end(ask, k, Outcome::cancelled);
+        last_event_received = last_event_received || event.is_last;
+        if (event.cached_tokens > 0) cached_tokens = event.cached_tokens;
+        if (event.has_content && !attempt.stream_started) {
+          if (attempt.end_queued || request.streaming_attempt >= 0 ||
+              request.outcome != RequestOutcome::none || request.client_left) {
+            end_attempt(request, attempt_index, Outcome::cancelled);
             co_return false;
           }
-          ask.bound = k, run.begun = true, run.first = loop_.now();
-          run.scope.spawn(out_of_life(asks_[static_cast<std::size_t>(ask.seq)], k));
+          request.streaming_attempt = attempt_index;
+          attempt.stream_started = true;
+          attempt.first_event_at = loop_.now();
+          attempt.scope.spawn(
+              enforce_stall_timeout(requests_[static_cast<std::size_t>(request.index)], attempt_index));
           counters_.observe_first_token(
-              type_name(ask), static_cast<double>(loop_.now() - ask.came) / static_cast<double>(io::kSecond));
-          put({Input::What::began, asks_[static_cast<std::size_t>(ask.seq)], k, {}, 0, {}, {}});
-          ask.talk().stream_started(*data);
+              type_name(request),
+              static_cast<double>(loop_.now() - request.arrived_at) / static_cast<double>(io::kSecond));
+          enqueue({Input::Kind::stream_started,
+                   requests_[static_cast<std::size_t>(request.index)],
+                   attempt_index,
+                   {},
+                   0,
+                   {},
+                   {}});
+          request.exchange().stream_started(*data);
         }
-        if (!run.begun) continue;
-        const std::size_t before = ask.outbox.size();
-        ask.talk().forward_event(*data, events.raw_event(), heard, ask.outbox);
-        if (ask.outbox.size() > before) ask.news.notify();
+        if (!attempt.stream_started) continue;
+        const std::size_t before = request.outbox.size();
+        request.exchange().forward_event(*data, events.raw_event(), event, request.outbox);
+        if (request.outbox.size() > before) request.updated.notify();
       }
-      if (events.pending_bytes() > manner_.max_event_bytes) {
-        end(ask, k, Outcome::error, 0, report);
+      if (events.pending_bytes() > traits_.max_event_bytes) {
+        end_attempt(request, attempt_index, Outcome::error, 0, report);
         co_return false;
       }
     }
     if (!events.last_comment().empty()) {
-      const LoadReport noted = protocol_.parse_load_report(events.last_comment());
-      if (noted.received) report = noted;
+      const LoadReport update = protocol_.parse_load_report(events.last_comment());
+      if (update.received) report = update;
     }
-    if (fault != http::MessageError::none) break;
-    if (ask.outbox.size() > kOutbox) co_await wait_for_client(ask, run);
+    if (error != http::MessageError::none) break;
+    if (request.outbox.size() > kMaxOutboxBytes) co_await wait_for_client(request, attempt);
   }
-  const bool whole = (last || manner_.complete_without_last_event) && fault == http::MessageError::none &&
-                     !connection.reader->has_more();
-  if (!whole)
-    log_.debug("stream broke", {{"sequence", ask.brief.id},
-                                {"attempt", k},
-                                {"begun", run.begun ? 1 : 0},
-                                {"last_event_came", last ? 1 : 0},
-                                {"fault", http::to_string(fault)}});
-  end(ask, k, whole && run.begun ? Outcome::generated : lost(fault), kept, report);
-  co_return whole;
-}
-
-io::Task<> Host::wait_for_client(ActiveRequest& ask, ActiveAttempt& run) {
-  run.held_back = true;
-  while (ask.outbox.size() > kOutbox) co_await ask.drained.wait();
-  run.held_back = false;
-  run.heard = loop_.now();
-}
-
-// Where each prefill's KV cache is released at its own worker.
-void Host::release_prefill(ActiveRequest& ask, int k) {
-  ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
-  run.holds_state = false;
-  releaser_.release_at(run.worker, ask.talk().release_request(k, fleet_.at(run.worker).listed.address));
-}
-
-// Where one release frees all that is held for a request, the releaser owns it.
-void Host::note_kv(ActiveRequest& ask, HoldEvent event, int k) {
-  if (!manner_.single_release) return;
-  if (k < 0) return releaser_.note(ask.kv.shared(), event);
-  const ActiveAttempt& run = *ask.runs[static_cast<std::size_t>(k)];
-  releaser_.note_attempt(ask.kv.shared(), event, k, run.worker, run.runs_for);
-}
-
-void Host::end_lease(ActiveRequest& ask) {
-  if (manner_.single_release) ask.kv.request_over();
-}
-
-void Host::trace(ActiveRequest& ask, TraceStep step, int k, const char* detail, std::size_t bytes) {
-  const ActiveAttempt* run = k < 0 ? nullptr : ask.runs[static_cast<std::size_t>(k)].get();
-  ask.kv->trace.add({.at = loop_.now(),
-                     .step = step,
-                     .kv = ask.kv->hold.state(),
-                     .attempt = static_cast<std::int16_t>(k),
-                     .worker = run == nullptr ? -1 : run->worker,
-                     .idle_time = run == nullptr ? 0 : run->stood,
-                     .bytes = bytes,
-                     .detail = detail});
-}
-
-void Host::cache_released(const KvLease& lease) {
-  for (const std::shared_ptr<ActiveRequest>& ask : asks_)
-    if (ask && &*ask->kv == &lease) return put({.what = Input::What::cache_released, .ask = ask, .list = {}});
+  const bool complete = (last_event_received || traits_.complete_without_last_event) &&
+                        error == http::MessageError::none && !connection.reader->has_more();
+  if (!complete)
+    log_.debug("stream broke", {{"sequence", request.info.id},
+                                {"attempt", attempt_index},
+                                {"begun", attempt.stream_started ? 1 : 0},
+                                {"last_event_came", last_event_received ? 1 : 0},
+                                {"fault", http::to_string(error)}});
+  end_attempt(request, attempt_index,
+              complete && attempt.stream_started ? Outcome::generated : outcome_of_error(error),
+              cached_tokens, report);
+  co_return complete;
+}
+
+io::Task<> Host::wait_for_client(ActiveRequest& request, ActiveAttempt& attempt) {
+  attempt.paused_for_client = true;
+  while (request.outbox.size() > kMaxOutboxBytes) co_await request.outbox_drained.wait();
+  attempt.paused_for_client = false;
+  attempt.last_event_at = loop_.now();
+}
+
+// Releases the KV cache of one prefill at its own worker, for protocols without a single release per request.
+void Host::release_prefill(ActiveRequest& request, int attempt_index) {
+  ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  attempt.holds_kv = false;
+  releaser_.release_at(attempt.worker, request.exchange().release_request(
+                                           attempt_index, fleet_.at(attempt.worker).listed.address));
+}
+
+// Forwards a KV cache event to the releaser, which owns the lease where a single release frees everything.
+void Host::record_kv_event(ActiveRequest& request, HoldEvent event, int attempt_index) {
+  if (!traits_.single_release) return;
+  if (attempt_index < 0) return releaser_.record(request.kv.shared(), event);
+  const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
+  releaser_.record_attempt(request.kv.shared(), event, attempt_index, attempt.worker,
+                           attempt.assumed_run_time);
+}
+
+void Host::report_request_over(ActiveRequest& request) {
+  if (traits_.single_release) request.kv.request_over();
+}
+
+void Host::add_trace(ActiveRequest& request, TraceStep step, int attempt_index, const char* detail,
+                     std::size_t bytes) {
+  const ActiveAttempt* attempt =
+      attempt_index < 0 ? nullptr : request.attempts[static_cast<std::size_t>(attempt_index)].get();
+  request.kv->trace.add({.at = loop_.now(),
+                         .step = step,
+                         .kv = request.kv->hold.state(),
+                         .attempt = static_cast<std::int16_t>(attempt_index),
+                         .worker = attempt == nullptr ? -1 : attempt->worker,
+                         .idle_time = attempt == nullptr ? 0 : attempt->connection_idle_time,
+                         .bytes = bytes,
+                         .detail = detail});
+}
+
+void Host::handle_kv_released(const KvLease& lease) {
+  for (const std::shared_ptr<ActiveRequest>& request : requests_)
+    if (request && &*request->kv == &lease)
+      return enqueue({.kind = Input::Kind::kv_released, .request = request, .list = {}});
 }
 
 void Host::log_traces() {
-  constexpr int kMost = 64;
+  constexpr int kMaxTraces = 64;
   int written = 0;
-  for (const std::shared_ptr<ActiveRequest>& ask : asks_)
-    if (ask && written++ < kMost) traces_.write_unthrottled(ask->brief.id, ask->kv->trace, "asked for");
+  for (const std::shared_ptr<ActiveRequest>& request : requests_)
+    if (request && written++ < kMaxTraces)
+      traces_.write_unthrottled(request->info.id, request->kv->trace, "asked for");
 }
 
 // Clients.
 
-io::Task<> Host::serve(http::Request& request, http::ResponseWriter& answer) {
-  RequestInfo brief;
-  auto read = protocol_.open_exchange(request, brief);
+io::Task<> Host::serve(http::Request& http_request, http::ResponseWriter& response) {
+  RequestInfo info;
+  auto read = protocol_.open_exchange(http_request, info);
   if (const Reply* reply = std::get_if<Reply>(&read)) {
     if (reply->is_refusal) counters_.count_refusal(reply->status);
-    if (reply->is_refusal && !reply->keep_connection) answer.close_after_response();
-    co_await answer.respond(reply->status, reply->fields, reply->body);
+    if (reply->is_refusal && !reply->keep_connection) response.close_after_response();
+    co_await response.respond(reply->status, reply->fields, reply->body);
     co_return;
   }
-  auto& talk = std::get<std::unique_ptr<Exchange>>(read);
-  const std::shared_ptr<ActiveRequest> ask = take(std::move(brief), std::move(talk), request.received_at);
+  auto& exchange = std::get<std::unique_ptr<Exchange>>(read);
+  const std::shared_ptr<ActiveRequest> request =
+      add_request(std::move(info), std::move(exchange), http_request.received_at);
   try {
-    co_await converse(ask, answer);
+    co_await serve_client(request, response);
   } catch (...) {
-    leave(ask);  // nobody waits for it any more
+    mark_client_left(request);  // nobody will read the response
     throw;
   }
 }
 
-std::shared_ptr<Host::ActiveRequest> Host::take(RequestInfo brief, std::unique_ptr<Exchange> talk,
-                                                io::Nanos came) {
-  std::shared_ptr<KvLease> lease = releaser_.open_lease(brief.id, std::move(talk));
-  auto ask = std::make_shared<ActiveRequest>(loop_, std::move(brief), releaser_, std::move(lease));
-  if (free_.empty()) {
-    free_.push_back(static_cast<int>(asks_.size()));
-    asks_.emplace_back();
+std::shared_ptr<Host::ActiveRequest> Host::add_request(RequestInfo info, std::unique_ptr<Exchange> exchange,
+                                                       io::Nanos arrived_at) {
+  std::shared_ptr<KvLease> lease = releaser_.open_lease(info.id, std::move(exchange));
+  auto request = std::make_shared<ActiveRequest>(loop_, std::move(info), releaser_, std::move(lease));
+  if (free_indices_.empty()) {
+    free_indices_.push_back(static_cast<int>(requests_.size()));
+    requests_.emplace_back();
   }
-  ask->seq = free_.back();
-  free_.pop_back();
-  ask->came = came;
-  ask->abandon_at = ask->came + ask->brief.time_limit;
-  asks_[static_cast<std::size_t>(ask->seq)] = ask;
-  counters_.set_active_requests(++live_);
-  trace(*ask, TraceStep::taken);
-  put({Input::What::came, ask, 0, {}, 0, {}, {}});
-  return ask;
-}
-
-// The client's side of a sequence, until its answer is written or it has left.
-io::Task<> Host::converse(std::shared_ptr<ActiveRequest> of, http::ResponseWriter& answer) {
-  ActiveRequest& ask = *of;
-  io::Scope watch(loop_);
-  watch.spawn(watch_client(of, answer));
-  bool begun = false;
+  request->index = free_indices_.back();
+  free_indices_.pop_back();
+  request->arrived_at = arrived_at;
+  request->deadline = request->arrived_at + request->info.time_limit;
+  requests_[static_cast<std::size_t>(request->index)] = request;
+  counters_.set_active_requests(++live_count_);
+  add_trace(*request, TraceStep::taken);
+  enqueue({Input::Kind::arrived, request, 0, {}, 0, {}, {}});
+  return request;
+}
+
+// Writes events and the final response to the client, until all is written or the client has left.
+io::Task<> Host::serve_client(std::shared_ptr<ActiveRequest> shared_request, http::ResponseWriter& response) {
+  ActiveRequest& request = *shared_request;
+  io::Scope client_watch(loop_);
+  client_watch.spawn(watch_client(shared_request, response));
+  bool stream_started = false;
   for (;;) {
-    if (answer.write_failed()) client_left(of, answer);
-    if (ask.client_left) co_return;
-    if (!ask.outbox.empty()) {
-      if (!std::exchange(begun, true)) answer.begin_stream_deferred(200, protocol_.stream_fields());
-      // The two texts change places, each with its room.
-      std::swap(ask.outbox, ask.sending);
-      co_await answer.write_chunk(ask.sending);
-      ask.sending.clear();
-      ask.drained.notify();
+    if (response.write_failed()) handle_client_left(shared_request, response);
+    if (request.client_left) co_return;
+    if (!request.outbox.empty()) {
+      if (!std::exchange(stream_started, true))
+        response.begin_stream_deferred(200, protocol_.stream_fields());
+      // Swapped rather than copied, so that both strings keep their capacity.
+      std::swap(request.outbox, request.sending);
+      co_await response.write_chunk(request.sending);
+      request.sending.clear();
+      request.outbox_drained.notify();
       continue;
     }
-    if (ask.final != RequestOutcome::none) break;
-    co_await ask.news.wait();
+    if (request.outcome != RequestOutcome::none) break;
+    co_await request.updated.wait();
   }
-  watch.cancel();
-  co_await conclude(ask, answer, begun);
+  client_watch.cancel();
+  co_await send_final_response(request, response, stream_started);
 }
 
-// Guards against attempts that go on for a client that has left while a write to it does not end.
-io::Task<> Host::watch_client(std::shared_ptr<ActiveRequest> ask, http::ResponseWriter& answer) {
-  co_await answer.wait_for_client_close();
-  client_left(ask, answer);
+// Notices a client that leaves while a write to it is blocked; its attempts would go on otherwise.
+io::Task<> Host::watch_client(std::shared_ptr<ActiveRequest> request, http::ResponseWriter& response) {
+  co_await response.wait_for_client_close();
+  handle_client_left(request, response);
 }
 
-bool Host::leave(const std::shared_ptr<ActiveRequest>& ask) {
-  if (std::exchange(ask->client_left, true)) return false;
-  ask->client_left_at = loop_.now();
-  trace(*ask, TraceStep::client_left);
-  put({Input::What::client_left, ask, 0, {}, 0, {}, {}});
-  ask->drained.notify();
-  ask->news.notify();
+bool Host::mark_client_left(const std::shared_ptr<ActiveRequest>& request) {
+  if (std::exchange(request->client_left, true)) return false;
+  request->client_left_at = loop_.now();
+  add_trace(*request, TraceStep::client_left);
+  enqueue({Input::Kind::client_left, request, 0, {}, 0, {}, {}});
+  request->outbox_drained.notify();
+  request->updated.notify();
   return true;
 }
 
-void Host::client_left(const std::shared_ptr<ActiveRequest>& ask, http::ResponseWriter& answer) {
-  if (!leave(ask)) return;
-  counters_.count_answer(type_name(*ask), "left");
-  log_.info(answer.write_stalled() ? "client stalled" : "client left",
-            {{"sequence", ask->brief.id}, {"answer", to_string(ask->final)}});
-  answer.abort();  // a write that waits ends with an error
-}
-
-io::Task<> Host::conclude(ActiveRequest& ask, http::ResponseWriter& answer, bool begun) {
-  constexpr io::Nanos kAnswerSlack = 500 * io::kMs;
-  const bool late = loop_.now() + station_.settings.tick * 4 >= ask.abandon_at;
-  const io::Nanos passed_by =
-      begun || ask.bound >= 0 ? 0 : loop_.update_now() - ask.abandon_at - kAnswerSlack;
-  invariants_.check(core::Invariant::answer_in_time, passed_by <= 0, ask.brief.id, passed_by / io::kMs);
-  const FinalResponse closing = ask.talk().final_response(ask.final, late, ask.retry_after);
-  if (!begun && !closing.is_stream) {
-    if (closing.reply.is_refusal) answer.close_after_response();
-    co_await answer.respond(closing.reply.status, closing.reply.fields, closing.reply.body);
+void Host::handle_client_left(const std::shared_ptr<ActiveRequest>& request, http::ResponseWriter& response) {
+  if (!mark_client_left(request)) return;
+  counters_.count_answer(type_name(*request), "left");
+  log_.info(response.write_stalled() ? "client stalled" : "client left",
+            {{"sequence", request->info.id}, {"answer", to_string(request->outcome)}});
+  response.abort();  // a pending write ends with an error
+}
+
+io::Task<> Host::send_final_response(ActiveRequest& request, http::ResponseWriter& response,
+                                     bool stream_started) {
+  constexpr io::Nanos kResponseSlack = 500 * io::kMs;
+  const bool late = loop_.now() + config_.settings.tick * 4 >= request.deadline;
+  const io::Nanos overrun = stream_started || request.streaming_attempt >= 0
+                                ? 0
+                                : loop_.update_now() - request.deadline - kResponseSlack;
+  invariants_.check(core::Invariant::answer_in_time, overrun <= 0, request.info.id, overrun / io::kMs);
+  const FinalResponse final_response =
+      request.exchange().final_response(request.outcome, late, request.retry_after);
+  if (!stream_started && !final_response.is_stream) {
+    if (final_response.reply.is_refusal) response.close_after_response();
+    co_await response.respond(final_response.reply.status, final_response.reply.fields,
+                              final_response.reply.body);
     co_return;
   }
-  if (!begun) answer.begin_stream_deferred(200, protocol_.stream_fields());
-  if (closing.truncate) {
-    answer.close_after_response();
+  if (!stream_started) response.begin_stream_deferred(200, protocol_.stream_fields());
+  if (final_response.truncate) {
+    response.close_after_response();
     co_return;
   }
-  if (closing.close_after) answer.close_after_response();
-  co_await answer.end_stream(closing.last_part);
+  if (final_response.close_after) response.close_after_response();
+  co_await response.end_stream(final_response.last_part);
 }
 
 }  // namespace cressrill::router
--- a/router/host.h
+++ b/router/host.h
@@ -1,6 +1,6 @@
-// Hosts one Policy on sockets: tells it every input in the order in which things happened, and carries out every
-// action. It decides nothing. Inputs wait in one queue that one coroutine empties, so that actions never run
-// inside the coroutine of an attempt and may cancel any.
+// Runs one Policy on real connections: delivers every input to it in the order in which things happened and
+// carries out its actions. The host makes no scheduling decisions. Inputs are queued and delivered by a
+// single coroutine, so that actions never run inside an attempt's coroutine and may cancel any attempt.
 #pragma once
 
 #include <functional>
@@ -23,160 +23,182 @@
 using PolicyFactory =
     std::function<std::unique_ptr<Policy>(const PolicySettings&, std::uint64_t seed, Nanos now, Actions&)>;
 
+// Owns the requests in progress, their attempts, the fleet's connections and the policy. log, counters,
+// config and protocol must outlive it.
 class Host final : private Actions {
  public:
-  Host(io::Loop& loop, const core::RouterConfig& station, core::Log& log, core::Counters& counters,
-       Protocol& protocol, std::uint64_t seed, const PolicyFactory& make);
+  Host(io::Loop& loop, const core::RouterConfig& config, core::Log& log, core::Counters& counters,
+       Protocol& protocol, std::uint64_t seed, const PolicyFactory& create_policy);
   ~Host() override;
 
-  // One request of a client, from its reading to its last byte.
-  io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
+  // Serves one client request until its response is written or the client has left.
+  io::Task<> serve(http::Request& http_request, http::ResponseWriter& response);
   void update_list(const core::WorkerList& list);
-  // Discovery was heard, and had nothing new.
+  // Discovery responded without a change to the list.
   void confirm_list() { fleet_.confirm_current(); }
   void list_failed();
   const Fleet& fleet() const { return fleet_; }
-  std::size_t live_requests() const { return live_; }
-  // Whether KV cache is being released that nobody else will release, should this process end before.
+  std::size_t live_requests() const { return live_count_; }
+  // Whether a release of KV cache is still pending that nobody would complete if this process exited now.
   bool has_pending_releases() const { return releaser_.owes_release() || releaser_.has_open_calls(); }
-  // The process ends soon: releases that go on until more is known follow each other closely.
+  // Shortens the pauses between repeated releases, as the process is about to exit.
   void expedite_releases() { releaser_.expedite(); }
-  // The last steps of the requests in hand, to the log.
+  // Writes the last steps of the active requests to the log.
   void log_traces();
   core::Invariants& invariants() { return invariants_; }
   const core::Invariants& invariants() const { return invariants_; }
-  // For each worker, what the decisions believe to be out there beside what is out on sockets. The two are the same
-  // whenever no input waits to be told.
+  // The load of one worker as the policy expects it and as counted on connections. The two agree whenever the
+  // input queue is empty.
   struct WorkerLoad {
     std::string worker;
     ExpectedLoad expected;
-    int in_flight{};  // attempts whose answer has not begun
+    int in_flight{};  // attempts whose stream has not started
   };
   std::vector<WorkerLoad> worker_loads() const;
 
  private:
   // State of one schedule attempt.
   struct ActiveAttempt {
-    ActiveAttempt(io::Loop& loop, int w, bool r) : worker(w), reads(r), scope(loop) {}
+    ActiveAttempt(io::Loop& loop, int worker_index, bool prefill)
+        : worker(worker_index), is_prefill(prefill), scope(loop) {}
     int worker;
-    bool reads;
-    bool out{true};      // the decisions have not been told of its end
-    bool ended{};        // its end is in the queue, or told
-    bool written{};      // some of its request may have left; whether it has arrived, only an answer tells
-    bool whole{};        // all of it has left
-    bool answered{};     // the head of an answer has come, or what cannot be read
-    bool begun{};        // its stream flows
-    bool holds_state{};  // a read whose state waits at the reader
-    int takes{-1};       // a write: the read whose state it fetches
-    std::string state;   // of a read, as its answer named it
-    io::Nanos sent{};
-    io::Nanos write_began{};
+    bool is_prefill;
+    bool outstanding{true};  // the policy has not been notified of its end
+    bool end_queued{};       // its end has been queued as an input, or delivered
+    bool write_started{};    // part of its request may have been sent; only a response proves that it arrived
+    bool fully_written{};    // the whole request has been sent
+    bool response_received{};        // the head of a response, or bytes that cannot be parsed, came back
+    bool stream_started{};           // the client gets its stream
+    bool holds_kv{};                 // of a prefill: its KV cache is held at the prefill worker
+    int kv_source{-1};               // of a decode attempt: the prefill attempt whose KV cache it fetches
+    std::string kv_transfer_params;  // of a prefill, as returned in its response
+    io::Nanos decided_at{};
+    io::Nanos write_started_at{};
     io::Nanos deadline{};
-    io::Nanos begin_by{kNever};  // its request must have been written by then
-    io::Nanos runs_for{};        // so long it is taken as running
-    io::Nanos first{};           // its first event; 0: none yet
-    io::Nanos stood{-1};         // how long its connection had been kept unused; negative: a new one
-    io::Nanos heard{};           // last whole event of its stream
-    bool held_back{};            // its stream is not read on until the client has taken what waits for it
+    io::Nanos write_deadline{kNever};    // its request must have been written by then
+    io::Nanos assumed_run_time{};        // how long a prefill whose end is unknown is assumed to run
+    io::Nanos first_event_at{};          // 0: no event with content yet
+    io::Nanos connection_idle_time{-1};  // idle time of its connection before use; negative: a new connection
+    io::Nanos last_event_at{};           // when the last complete event of its stream was received
+    bool paused_for_client{};            // reading is paused until the client has taken the buffered events
     io::Scope scope;
   };
-  // State of one sequence.
+  // State of one client request.
   struct ActiveRequest {
-    ActiveRequest(io::Loop& loop, RequestInfo b, KvReleaser& releaser, std::shared_ptr<KvLease> lease)
-        : brief(std::move(b)), kv(releaser, std::move(lease)), news(loop), drained(loop) {}
-    int seq{};
-    RequestInfo brief;
+    ActiveRequest(io::Loop& loop, RequestInfo request_info, KvReleaser& releaser,
+                  std::shared_ptr<KvLease> lease)
+        : info(std::move(request_info)),
+          kv(releaser, std::move(lease)),
+          updated(loop),
+          outbox_drained(loop) {}
+    int index{};
+    RequestInfo info;
     KvLeaseHandle kv;
-    Exchange& talk() { return *kv->exchange; }
-    io::Nanos came{};
-    io::Nanos abandon_at{};
-    io::Signal news;      // for the client's coroutine
-    io::Signal drained;   // for the attempt that fills outbox
-    std::string outbox;   // events that wait for the client,
-    std::string sending;  // and those that are on their way to it
-    RequestOutcome final{RequestOutcome::none};
+    Exchange& exchange() { return *kv->exchange; }
+    io::Nanos arrived_at{};
+    io::Nanos deadline{};
+    io::Signal updated;         // wakes the client's coroutine
+    io::Signal outbox_drained;  // wakes the attempt that fills outbox
+    std::string outbox;         // events not yet handed to the client's connection
+    std::string sending;        // events that are being written to the client
+    RequestOutcome outcome{RequestOutcome::none};
     bool client_left{};
     io::Nanos client_left_at{};
     Nanos retry_after{};
-    bool engine_refused{};  // with an answer that is the client's
-    int bound{-1};          // the attempt whose stream the client gets
-    int state_run{-1};      // the latest read that left a state
-    std::vector<std::unique_ptr<ActiveAttempt>> runs;
+    bool engine_refused{};      // an engine rejected the request itself; the client gets that error
+    int streaming_attempt{-1};  // the attempt whose stream the client gets
+    int last_kv_attempt{-1};    // the latest prefill that left KV cache
+    std::vector<std::unique_ptr<ActiveAttempt>> attempts;
   };
+  // An event for the policy, queued until it is delivered.
   struct Input {
-    enum class What { list, list_failed, came, client_left, began, ended, cache_released, woke } what;
-    std::shared_ptr<ActiveRequest> ask;
-    int attempt{};
+    enum class Kind {
+      list,
+      list_failed,
+      arrived,
+      client_left,
+      stream_started,
+      attempt_ended,
+      kv_released,
+      wakeup
+    } kind;
+    std::shared_ptr<ActiveRequest> request;
+    int attempt_index{};
     Outcome outcome{};
-    double kept{};
+    double cached_tokens{};
     LoadReport report{};
     std::shared_ptr<const core::WorkerList> list;
   };
 
-  void send(int seq, int worker, AttemptLimits limits) override;
-  void release(int seq) override;
-  void cancel(int seq, int attempt) override;
-  void reject(int seq, Nanos retry_after) override;
-  void abort(int seq) override;
-  void subscribe() override {}  // the roster pushes to all that watch it
+  void send(int request_index, int worker, AttemptLimits limits) override;
+  void release(int request_index) override;
+  void cancel(int request_index, int attempt_index) override;
+  void reject(int request_index, Nanos retry_after) override;
+  void abort(int request_index) override;
+  void subscribe() override {}  // discovery pushes to every client that watches it
   void request_wakeup(Nanos after) override;
-  void forget_request(int seq) override;
+  void forget_request(int request_index) override;
   void forget_worker(int worker) override { fleet_.forget(worker); }
 
-  void put(Input input);
-  io::Task<> pump();
-  void tell(Input& input);
-  void tell_or_end(Input& input) noexcept;
-  void tell_ended(ActiveRequest& ask, const Input& input);
-  std::shared_ptr<ActiveRequest> take(RequestInfo brief, std::unique_ptr<Exchange> talk, io::Nanos came);
-  io::Task<> converse(std::shared_ptr<ActiveRequest> ask, http::ResponseWriter& answer);
-  io::Task<> watch_client(std::shared_ptr<ActiveRequest> ask, http::ResponseWriter& answer);
-  bool leave(const std::shared_ptr<ActiveRequest>& ask);
-  void client_left(const std::shared_ptr<ActiveRequest>& ask, http::ResponseWriter& answer);
-  io::Task<> conclude(ActiveRequest& ask, http::ResponseWriter& answer, bool begun);
-  void settle(ActiveRequest& ask, RequestOutcome final);
-  const std::string& type_name(const ActiveRequest& ask) const;
+  void enqueue(Input input);
+  io::Task<> process_inputs();
+  void deliver(Input& input);
+  void deliver_or_terminate(Input& input) noexcept;
+  void deliver_attempt_end(ActiveRequest& request, const Input& input);
+  std::shared_ptr<ActiveRequest> add_request(RequestInfo info, std::unique_ptr<Exchange> exchange,
+                                             io::Nanos arrived_at);
+  io::Task<> serve_client(std::shared_ptr<ActiveRequest> request, http::ResponseWriter& response);
+  io::Task<> watch_client(std::shared_ptr<ActiveRequest> request, http::ResponseWriter& response);
+  bool mark_client_left(const std::shared_ptr<ActiveRequest>& request);
+  void handle_client_left(const std::shared_ptr<ActiveRequest>& request, http::ResponseWriter& response);
+  io::Task<> send_final_response(ActiveRequest& request, http::ResponseWriter& response, bool stream_started);
+  void set_outcome(ActiveRequest& request, RequestOutcome outcome);
+  const std::string& type_name(const ActiveRequest& request) const;
 
-  void end(ActiveRequest& ask, int k, Outcome outcome, double kept = 0, const LoadReport& report = {});
-  io::Task<> attempt(std::shared_ptr<ActiveRequest> ask, int k);
-  io::Task<> contained(std::shared_ptr<ActiveRequest> ask, int k, io::Task<> work);
-  AttemptFacts facts(const ActiveRequest& ask, const ActiveAttempt& run) const;
-  bool may_begin(const ActiveRequest& ask, const ActiveAttempt& run);
-  void check_begun(const ActiveRequest& ask, const ActiveAttempt& run, io::Nanos told);
-  io::Nanos answer_margin() const;
-  AttemptInfo described(const ActiveRequest& ask, int k) const;
-  io::Task<io::IoResult> send_to(ActiveRequest& ask, int k, http::Connection& connection);
-  io::Task<> out_of_time(std::shared_ptr<ActiveRequest> ask, int k);
-  io::Task<> out_of_life(std::shared_ptr<ActiveRequest> ask, int k);
-  void answered(ActiveRequest& ask, int k, const http::Head& head, std::string body,
-                const LoadReport& report);
-  io::Task<bool> stream(ActiveRequest& ask, int k, http::Connection& connection, const LoadReport& report);
-  io::Task<> wait_for_client(ActiveRequest& ask, ActiveAttempt& run);
-  void release_prefill(ActiveRequest& ask, int k);
-  void note_kv(ActiveRequest& ask, HoldEvent event, int k = -1);
-  void end_lease(ActiveRequest& ask);
-  void trace(ActiveRequest& ask, TraceStep step, int k = -1, const char* detail = "", std::size_t bytes = 0);
-  void cache_released(const KvLease& lease);
+  void end_attempt(ActiveRequest& request, int attempt_index, Outcome outcome, double cached_tokens = 0,
+                   const LoadReport& report = {});
+  io::Task<> run_attempt(std::shared_ptr<ActiveRequest> request, int attempt_index);
+  io::Task<> run_contained(std::shared_ptr<ActiveRequest> request, int attempt_index, io::Task<> work);
+  BeginConditions begin_conditions(const ActiveRequest& request, const ActiveAttempt& attempt) const;
+  bool may_begin(const ActiveRequest& request, const ActiveAttempt& attempt);
+  void check_begin_invariants(const ActiveRequest& request, const ActiveAttempt& attempt, io::Nanos timeout);
+  io::Nanos response_margin() const;
+  AttemptInfo attempt_info(const ActiveRequest& request, int attempt_index) const;
+  io::Task<io::IoResult> write_request(ActiveRequest& request, int attempt_index,
+                                       http::Connection& connection);
+  io::Task<> enforce_deadline(std::shared_ptr<ActiveRequest> request, int attempt_index);
+  io::Task<> enforce_stall_timeout(std::shared_ptr<ActiveRequest> request, int attempt_index);
+  void handle_response(ActiveRequest& request, int attempt_index, const http::Head& head, std::string body,
+                       const LoadReport& report);
+  io::Task<bool> relay_stream(ActiveRequest& request, int attempt_index, http::Connection& connection,
+                              const LoadReport& report);
+  io::Task<> wait_for_client(ActiveRequest& request, ActiveAttempt& attempt);
+  void release_prefill(ActiveRequest& request, int attempt_index);
+  void record_kv_event(ActiveRequest& request, HoldEvent event, int attempt_index = -1);
+  void report_request_over(ActiveRequest& request);
+  void add_trace(ActiveRequest& request, TraceStep step, int attempt_index = -1, const char* detail = "",
+                 std::size_t bytes = 0);
+  void handle_kv_released(const KvLease& lease);
 
   io::Loop& loop_;
-  const core::RouterConfig& station_;
+  const core::RouterConfig& config_;
   core::Log& log_;
   core::Counters& counters_;
   Protocol& protocol_;
-  const Protocol::Traits manner_;
+  const Protocol::Traits traits_;
   core::Invariants invariants_;
   Fleet fleet_;
   TraceWriter traces_;
-  KvReleaser releaser_;                               // outlives the requests, which report to it as they go
-  std::vector<std::shared_ptr<ActiveRequest>> asks_;  // by small index
-  std::vector<int> free_;
-  std::size_t live_{};
-  std::vector<Input> inbox_;
-  std::vector<Input> telling_;  // taken from the inbox; its room goes back there
-  io::Signal posted_;
+  KvReleaser releaser_;  // outlives the requests, whose lease handles refer to it
+  std::vector<std::shared_ptr<ActiveRequest>> requests_;  // by index; null where an index is free
+  std::vector<int> free_indices_;
+  std::size_t live_count_{};
+  std::vector<Input> input_queue_;
+  std::vector<Input> input_batch_;  // being delivered; swapped with the queue to reuse its capacity
+  io::Signal input_queued_;
   std::unique_ptr<Policy> policy_;
-  io::Scope errands_;  // wakes
-  io::Scope pump_;
+  io::Scope wakeups_;
+  io::Scope input_task_;
 };
 
 }  // namespace cressrill::router
--- a/router/kv_lease.h
+++ b/router/kv_lease.h
@@ -1,6 +1,7 @@
-// The lease on one request's KV cache: what workers may hold of it, from before the first byte of its first prefill until it
-// is proved that nothing is held. KvReleaser owns every lease that may cover something; a request holds only a handle, through
-// which it reports what happens to its attempts, and whose end is the end of the request.
+// The lease on one request's KV cache: what workers may hold of it, from just before the first byte of its
+// first prefill is written until it is proved that nothing is held any more. KvReleaser owns every lease that
+// may cover KV cache. A request has only a handle, through which it reports the events of its attempts;
+// destroying the handle ends the request.
 #pragma once
 
 #include <cstddef>
@@ -16,35 +17,35 @@
 namespace cressrill::router {
 
 struct KvLease {
-  KvLease(io::Loop& loop, io::Nanos limit, std::string request_id, std::unique_ptr<Exchange> request_talk)
+  KvLease(io::Loop& loop, io::Nanos limit, std::string request_id, std::unique_ptr<Exchange> request_exchange)
       : id(std::move(request_id)),
-        exchange(std::move(request_talk)),
+        exchange(std::move(request_exchange)),
         hold(limit),
         changed(loop),
-        settled(loop) {}
+        release_first_done(loop) {}
 
-  static constexpr std::size_t kNotOwned = static_cast<std::size_t>(-1);
+  static constexpr std::size_t kNotRegistered = static_cast<std::size_t>(-1);
 
   std::string id;  // of the request
   std::unique_ptr<Exchange> exchange;
   KvHold hold;
   RequestTrace trace;
-  std::vector<WorkerRef> prefilled_at;  // told of a release whatever the list says of them
-  std::size_t slot{kNotOwned};          // among the releaser's leases
-  io::Nanos due_at{kNever};             // when it is looked at next
-  io::Nanos over_at{};                  // when the request ended
-  io::Nanos asked_at{};                 // when its latest release began
+  std::vector<WorkerRef> prefilled_at;  // release targets even when they are no longer listed as running
+  std::size_t index{kNotRegistered};    // among the releaser's leases
+  io::Nanos check_at{kNever};           // when the next check is scheduled
+  io::Nanos request_over_at{};
+  io::Nanos release_started_at{};  // of the latest release
   int releases_confirmed{};
-  int calls_open{};    // of the release that goes on: those that a worker may still hear, timed out or not
-  bool releasing{};    // a task of the releaser has it
-  bool violated{};     // was counted as held too long
-  io::Signal changed;  // for that task,
-  io::Signal settled;  // and for an attempt that a release comes before
+  int open_calls{};  // calls of the current release that may still reach a worker, even after their timeout
+  bool release_running{};  // a release task of the releaser works on this lease
+  bool limit_violation_counted{};
+  io::Signal changed;             // wakes the release task
+  io::Signal release_first_done;  // wakes a prefill that waits for a release to complete first
 };
 
 class KvReleaser;
 
-// A request's side of its lease. The request's end is reported at the latest when the handle is destroyed.
+// A request's side of its lease. Reports the end of the request no later than its own destruction.
 class KvLeaseHandle {
  public:
   KvLeaseHandle(KvReleaser& releaser, std::shared_ptr<KvLease> lease)
@@ -57,7 +58,8 @@
   KvLease* operator->() const { return lease_.get(); }
   const std::shared_ptr<KvLease>& shared() const { return lease_; }
 
-  // The request has its final answer, or its client has left, and no attempt will follow. May be said more than once.
+  // The request has its final response, or its client has left, and no further attempt will follow. May be
+  // called repeatedly.
   void request_over();
 
  private:
--- a/router/kv_releaser.cpp
+++ b/router/kv_releaser.cpp
@@ -6,55 +6,55 @@
 
 namespace {
 
-constexpr io::Nanos kHeldSlack = 300 * io::kMs;  // that the rule allows past the limit
+constexpr io::Nanos kHoldLimitSlack = 300 * io::kMs;  // that the invariant allows past the limit
 
-// While the process ends: releases that go on until more is known follow each other so, and for so long at the most. SIGKILL
-// may come 3.7 s after SIGTERM.
-constexpr io::Nanos kHurriedPause = 100 * io::kMs;
-constexpr io::Nanos kHurriedFor = 3 * io::kSecond;
+// While the process is exiting: the pause between repeated releases, and how long they are owed at most.
+// SIGKILL may come 3.7 s after SIGTERM.
+constexpr io::Nanos kExpeditedPause = 100 * io::kMs;
+constexpr io::Nanos kExpeditedDuration = 3 * io::kSecond;
 
-// So many releases of a request are confirmed before one is sent to the worker of a lost attempt for its answer's sake: most
-// workers answer calls of other requests meanwhile.
+// After this many confirmed releases of a request, a release is sent to the workers of its lost attempts just
+// to obtain a response from them. Most workers respond to calls of other requests before that.
 constexpr int kReleasesBeforeProof = 3;
 
 }  // namespace
 
 KvReleaser::KvReleaser(io::Loop& loop, Fleet& fleet, core::Log& log, core::Counters& counters,
-                       core::Invariants& invariants, TraceWriter& traces, io::Nanos limit,
-                       std::function<void(const KvLease&)> released)
+                       core::Invariants& invariants, TraceWriter& traces, io::Nanos hold_limit,
+                       std::function<void(const KvLease&)> on_released)
     : loop_(loop),
       fleet_(fleet),
       log_(log),
       counters_(counters),
       invariants_(invariants),
       traces_(traces),
-      limit_(limit),
-      released_(std::move(released)),
-      earlier_due_(loop),
-      clock_(loop, io::Scope::OnException::end_process),
-      tasks_(loop),
-      calls_(loop) {
-  clock_.spawn(watch_due());
+      hold_limit_(hold_limit),
+      on_released_(std::move(on_released)),
+      earlier_check_added_(loop),
+      check_task_(loop, io::Scope::OnException::end_process),
+      release_tasks_(loop),
+      direct_calls_(loop) {
+  check_task_.spawn(run_scheduled_checks());
 }
 
-void KvReleaser::note(const std::shared_ptr<KvLease>& lease, HoldEvent event) {
+void KvReleaser::record(const std::shared_ptr<KvLease>& lease, HoldEvent event) {
   const HoldState before = lease->hold.state();
   const bool possible = lease->hold.record(event, loop_.now());
-  noted(lease, event, before, possible);
+  after_event(lease, event, before, possible);
 }
 
-void KvReleaser::note_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt, int worker,
-                              io::Nanos runs_for) {
+void KvReleaser::record_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt,
+                                int worker, io::Nanos assumed_run_time) {
   const HoldState before = lease->hold.state();
-  const WorkerRef at{worker, fleet_.at(worker).identity};
-  if (event == HoldEvent::prefill_written) lease->prefilled_at.push_back(at);
-  const bool possible = lease->hold.record_attempt(event, loop_.now(), attempt, at, runs_for);
-  noted(lease, event, before, possible, attempt, worker);
+  const WorkerRef worker_ref{worker, fleet_.at(worker).identity};
+  if (event == HoldEvent::prefill_written) lease->prefilled_at.push_back(worker_ref);
+  const bool possible = lease->hold.record_attempt(event, loop_.now(), attempt, worker_ref, assumed_run_time);
+  after_event(lease, event, before, possible, attempt, worker);
 }
 
-// Logs and traces an event, and begins what follows from it.
-void KvReleaser::noted(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before,
-                       bool possible, int attempt, int worker) {
+// Traces an event, logs an impossible one, and starts or schedules the release that follows from it.
+void KvReleaser::after_event(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before,
+                             bool possible, int attempt, int worker) {
   const KvHold& hold = lease->hold;
   lease->trace.add({.at = loop_.now(),
                     .step = TraceStep::kv_event,
@@ -68,30 +68,31 @@
                {{"request", lease->id}, {"state", to_string(before)}, {"event", to_string(event)}});
     traces_.write_unthrottled(lease->id, lease->trace, "transition not allowed");
   }
-  if (hold.needs_release()) keep(lease);
-  invariants_.check(core::Invariant::kv_has_owner, !hold.needs_release() || lease->slot != KvLease::kNotOwned,
-                    lease->id);
-  if (!hold.release_precedes_prefill()) lease->settled.notify();
-  if (lease->releasing) return lease->changed.notify();
-  if ((hold.request_over() && hold.needs_release()) || hold.release_due() <= loop_.now()) return begin(lease);
-  if (hold.needs_release()) return watch(lease);
-  drop_if_free(lease);
+  if (hold.needs_release()) register_lease(lease);
+  invariants_.check(core::Invariant::kv_has_owner,
+                    !hold.needs_release() || lease->index != KvLease::kNotRegistered, lease->id);
+  if (!hold.release_precedes_prefill()) lease->release_first_done.notify();
+  if (lease->release_running) return lease->changed.notify();
+  if ((hold.request_over() && hold.needs_release()) || hold.release_due() <= loop_.now())
+    return start_release(lease);
+  if (hold.needs_release()) return schedule_check(lease);
+  unregister_if_released(lease);
 }
 
-io::Task<> KvReleaser::release_first(std::shared_ptr<KvLease> lease) {
-  const io::Nanos until = loop_.now() + delay_before_next_call(limit_, 0);
+io::Task<> KvReleaser::await_release_before_prefill(std::shared_ptr<KvLease> lease) {
+  const io::Nanos until = loop_.now() + delay_before_next_call(hold_limit_, 0);
   while (lease->hold.release_precedes_prefill() && loop_.now() < until)
-    co_await io::wait_until(loop_, lease->settled, until);
+    co_await io::wait_until(loop_, lease->release_first_done, until);
 }
 
 void KvReleaser::request_over(const std::shared_ptr<KvLease>& lease) {
   if (lease->hold.request_over()) return;
-  lease->over_at = loop_.now();
-  note(lease, HoldEvent::request_over);
+  lease->request_over_at = loop_.now();
+  record(lease, HoldEvent::request_over);
 }
 
 void KvReleaser::request_gone(const std::shared_ptr<KvLease>& lease) {
-  if (!cancelled_ && lease->hold.needs_release()) note(lease, HoldEvent::request_gone);
+  if (!cancelled_ && lease->hold.needs_release()) record(lease, HoldEvent::request_gone);
 }
 
 void KvLeaseHandle::request_over() { releaser_.request_over(lease_); }
@@ -100,100 +101,101 @@
 
 // Leases.
 
-void KvReleaser::keep(const std::shared_ptr<KvLease>& lease) {
-  if (lease->slot != KvLease::kNotOwned) return;
+void KvReleaser::register_lease(const std::shared_ptr<KvLease>& lease) {
+  if (lease->index != KvLease::kNotRegistered) return;
   leases_.push_back(lease);
-  lease->slot = leases_.size() - 1;
+  lease->index = leases_.size() - 1;
 }
 
-void KvReleaser::drop_if_free(const std::shared_ptr<KvLease>& lease) {
-  if (lease->slot == KvLease::kNotOwned || lease->hold.needs_release() || lease->releasing) return;
-  leases_.back()->slot = lease->slot;
-  std::swap(leases_[lease->slot], leases_.back());
-  lease->slot = KvLease::kNotOwned;
+void KvReleaser::unregister_if_released(const std::shared_ptr<KvLease>& lease) {
+  if (lease->index == KvLease::kNotRegistered || lease->hold.needs_release() || lease->release_running)
+    return;
+  leases_.back()->index = lease->index;
+  std::swap(leases_[lease->index], leases_.back());
+  lease->index = KvLease::kNotRegistered;
   leases_.pop_back();
 }
 
-void KvReleaser::watch(const std::shared_ptr<KvLease>& lease, io::Nanos not_before) {
+void KvReleaser::schedule_check(const std::shared_ptr<KvLease>& lease, io::Nanos not_before) {
   const io::Nanos due = std::max(lease->hold.release_due(), not_before);
-  if (due >= lease->due_at) return;  // none, or looked at before
-  const bool earliest = due_.empty() || due < due_.top().at;
-  due_.push({due, lease});
-  lease->due_at = due;
-  if (earliest) earlier_due_.notify();
+  if (due >= lease->check_at) return;  // none is due, or a check is scheduled earlier
+  const bool earliest = scheduled_checks_.empty() || due < scheduled_checks_.top().due_at;
+  scheduled_checks_.push({due, lease});
+  lease->check_at = due;
+  if (earliest) earlier_check_added_.notify();
 }
 
-io::Task<> KvReleaser::watch_due() {
+io::Task<> KvReleaser::run_scheduled_checks() {
   for (;;) {
-    while (due_.empty()) co_await earlier_due_.wait();
-    const io::Nanos at = due_.top().at;
-    if (loop_.now() < at) {
-      co_await io::wait_until(loop_, earlier_due_, at);
+    while (scheduled_checks_.empty()) co_await earlier_check_added_.wait();
+    const io::Nanos due_at = scheduled_checks_.top().due_at;
+    if (loop_.now() < due_at) {
+      co_await io::wait_until(loop_, earlier_check_added_, due_at);
       continue;
     }
-    const std::shared_ptr<KvLease> lease = due_.top().lease.lock();
-    due_.pop();
-    if (!lease || lease->due_at != at) continue;  // an earlier moment was named since
-    lease->due_at = kNever;
-    if (!lease->releasing) look_at(lease);
+    const std::shared_ptr<KvLease> lease = scheduled_checks_.top().lease.lock();
+    scheduled_checks_.pop();
+    if (!lease || lease->check_at != due_at) continue;  // superseded by an earlier check
+    lease->check_at = kNever;
+    if (!lease->release_running) check_lease(lease);
   }
 }
 
-void KvReleaser::look_at(const std::shared_ptr<KvLease>& lease) {
-  gather_evidence(*lease);
+void KvReleaser::check_lease(const std::shared_ptr<KvLease>& lease) {
+  collect_evidence(*lease);
   const KvHold& hold = lease->hold;
-  if (!hold.needs_release()) return drop_if_free(lease);
-  if (hold.release_due() > loop_.now()) return watch(lease);
+  if (!hold.needs_release()) return unregister_if_released(lease);
+  if (hold.release_due() > loop_.now()) return schedule_check(lease);
   if (hold.state() == HoldState::held) traces_.write(lease->id, lease->trace, "held for most of its limit");
-  begin(lease);
+  start_release(lease);
 }
 
-void KvReleaser::begin(const std::shared_ptr<KvLease>& lease) {
-  tasks_.spawn(release(lease));
-  lease->releasing = true;
+void KvReleaser::start_release(const std::shared_ptr<KvLease>& lease) {
+  release_tasks_.spawn(run_release(lease));
+  lease->release_running = true;
 }
 
-// Where each call has failed at once, no worker is there that could hear one, and the limit's end is waited for at most. A
-// request that ends late has time for a call all the same.
+// If every call has failed at once, no worker is reachable, and the release is owed no longer than the hold
+// limit. A request that ends late still gets enough time for one call.
 bool KvReleaser::owes_release() const {
   return std::ranges::any_of(leases_, [&](const auto& lease) {
     if (!lease->hold.needs_release()) return false;
-    const bool time_is_left = !hurries() || loop_.now() < hurries_until_ ||
-                              loop_.now() < lease->over_at + release_call_timeout(limit_);
-    const bool may_be_heard = loop_.now() < lease->hold.limit_ends() || lease->calls_open > 0;
-    return time_is_left && may_be_heard;
+    const bool time_is_left = !expedited() || loop_.now() < expedited_until_ ||
+                              loop_.now() < lease->request_over_at + release_call_timeout(hold_limit_);
+    const bool may_reach_worker = loop_.now() < lease->hold.limit_ends() || lease->open_calls > 0;
+    return time_is_left && may_reach_worker;
   });
 }
 
 void KvReleaser::expedite() {
-  if (!hurries()) hurries_until_ = loop_.now() + kHurriedFor;
+  if (!expedited()) expedited_until_ = loop_.now() + kExpeditedDuration;
   for (const auto& lease : leases_) lease->changed.notify();
 }
 
 void KvReleaser::cancel() {
   cancelled_ = true;
-  clock_.cancel();
-  tasks_.cancel();
-  calls_.cancel();
+  check_task_.cancel();
+  release_tasks_.cancel();
+  direct_calls_.cancel();
 }
 
 // Evidence.
 
 const WorkerEntry* KvReleaser::find(const WorkerRef& worker) const {
-  const WorkerEntry* link = fleet_.find(worker.index);
-  return link != nullptr && link->identity == worker.identity ? link : nullptr;
+  const WorkerEntry* entry = fleet_.find(worker.index);
+  return entry != nullptr && entry->identity == worker.identity ? entry : nullptr;
 }
 
-// What calls of other requests have told of the workers of this one's attempts.
-void KvReleaser::gather_evidence(KvLease& lease) {
-  std::vector<WorkerRef> awaited;
-  lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) { awaited.push_back(worker); });
-  for (const WorkerRef& worker : awaited) {
-    const WorkerEntry* link = find(worker);
-    if (link == nullptr)
+// Applies what calls of any request have shown about the workers of this request's lost attempts.
+void KvReleaser::collect_evidence(KvLease& lease) {
+  std::vector<WorkerRef> unresolved;
+  lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) { unresolved.push_back(worker); });
+  for (const WorkerRef& worker : unresolved) {
+    const WorkerEntry* entry = find(worker);
+    if (entry == nullptr)
       lease.hold.worker_gone(worker.identity, loop_.now());
     else
-      lease.hold.worker_answered({worker.identity, link->answered_call_written_at, link->last_heard});
+      lease.hold.worker_answered({worker.identity, entry->answered_call_written_at, entry->last_heard});
   }
 }
 
@@ -201,169 +203,180 @@
 
 io::Nanos KvReleaser::next_release_at(const KvLease& lease) const {
   const io::Nanos due = lease.hold.release_due();
-  if (!hurries() || !lease.hold.request_over()) return due;
-  return std::min(due, lease.asked_at + kHurriedPause);
+  if (!expedited() || !lease.hold.request_over()) return due;
+  return std::min(due, lease.release_started_at + kExpeditedPause);
 }
 
-io::Nanos KvReleaser::pause_after(int calls) const { return delay_before_next_call(limit_, calls); }
+io::Nanos KvReleaser::delay_after(int calls) const { return delay_before_next_call(hold_limit_, calls); }
 
-// An exception ends this release and not the lease.
-io::Task<> KvReleaser::release(std::shared_ptr<KvLease> lease) {
+// Runs a release. An exception ends the release but not the lease, which is checked again later.
+io::Task<> KvReleaser::run_release(std::shared_ptr<KvLease> lease) {
   std::exception_ptr thrown;
   try {
-    co_await release_until_free(lease);
+    co_await release_until_proved(lease);
   } catch (...) {
     thrown = std::current_exception();
   }
-  lease->releasing = false;
+  lease->release_running = false;
   if (thrown) loop_.report_task_failure(thrown);
-  if (lease->hold.needs_release()) watch(lease, thrown ? loop_.now() + pause_after(0) : 0);
-  drop_if_free(lease);
+  if (lease->hold.needs_release()) schedule_check(lease, thrown ? loop_.now() + delay_after(0) : 0);
+  unregister_if_released(lease);
 }
 
-io::Task<> KvReleaser::release_until_free(const std::shared_ptr<KvLease>& lease) {
+io::Task<> KvReleaser::release_until_proved(const std::shared_ptr<KvLease>& lease) {
   const KvHold& hold = lease->hold;
   while (hold.needs_release()) {
-    gather_evidence(*lease);
+    collect_evidence(*lease);
     const io::Nanos due = next_release_at(*lease);
     if (loop_.now() < due) {
       if (!hold.request_over()) co_return;
       co_await io::wait_until(loop_, lease->changed, due);
       continue;
     }
-    const bool ordered = hold.release_wanted();  // by the decisions, which know of it
-    lease->asked_at = loop_.now();
-    note(lease, HoldEvent::release_asked);
+    const bool ordered_by_policy = hold.release_wanted();
+    lease->release_started_at = loop_.now();
+    record(lease, HoldEvent::release_asked);
     counters_.count_release_requested();
-    const std::optional<io::Nanos> written = co_await tell_until_confirmed(*lease);
-    if (written) {
-      confirmed(lease, *written, ordered);
+    const std::optional<io::Nanos> written_at = co_await call_until_confirmed(*lease);
+    if (written_at) {
+      handle_confirmation(lease, *written_at, ordered_by_policy);
     } else if (hold.state() == HoldState::releasing) {
       counters_.count_release_abandoned();
       traces_.write(lease->id, lease->trace, "no worker has confirmed a release");
-      note(lease, HoldEvent::release_given_up);
+      record(lease, HoldEvent::release_given_up);
     }
   }
 }
 
-void KvReleaser::confirmed(const std::shared_ptr<KvLease>& lease, io::Nanos written, bool ordered) {
+void KvReleaser::handle_confirmation(const std::shared_ptr<KvLease>& lease, io::Nanos written_at,
+                                     bool ordered_by_policy) {
   const HoldState before = lease->hold.state();
-  gather_evidence(*lease);
+  collect_evidence(*lease);
   ++lease->releases_confirmed;
-  const bool nothing_to_take = lease->hold.release_confirmed(written);
-  noted(lease, HoldEvent::release_confirmed, before, true);
+  const bool nothing_left = lease->hold.release_confirmed(written_at);
+  after_event(lease, HoldEvent::release_confirmed, before, true);
   counters_.count_release_confirmed();
-  if (!lease->hold.request_over() && !ordered && nothing_to_take) released_(*lease);
+  if (!lease->hold.request_over() && !ordered_by_policy && nothing_left) on_released_(*lease);
 }
 
-// A rule is judged by what has been confirmed: what may be held counts as held until a worker has released it.
-void KvReleaser::check_held(KvLease& lease) {
+// Checks the hold limit against confirmations only: what may be held counts as held until a worker has
+// confirmed its release.
+void KvReleaser::check_hold_limit(KvLease& lease) {
   const io::Nanos until = lease.hold.limit_ends();
-  if (lease.violated || until == kNever) return;
-  const io::Nanos passed_by = loop_.now() - until - kHeldSlack;
-  if (passed_by <= 0) return;
-  lease.violated = true;
-  invariants_.check(core::Invariant::kv_released_in_time, false, lease.id, passed_by / io::kMs);
+  if (lease.limit_violation_counted || until == kNever) return;
+  const io::Nanos overrun = loop_.now() - until - kHoldLimitSlack;
+  if (overrun <= 0) return;
+  lease.limit_violation_counted = true;
+  invariants_.check(core::Invariant::kv_released_in_time, false, lease.id, overrun / io::kMs);
   traces_.write_unthrottled(lease.id, lease.trace, "held too long");
 }
 
-// Calls that are not answered soon stay open beside the next ones. Whatever makes the release needless, an answer of an
-// attempt among it, ends it.
-io::Task<std::optional<io::Nanos>> KvReleaser::tell_until_confirmed(KvLease& lease) {
+// Calls one worker after another; a call without a quick response stays open beside the next ones. Returns
+// early once the release is no longer needed, for example when an attempt has received its response.
+io::Task<std::optional<io::Nanos>> KvReleaser::call_until_confirmed(KvLease& lease) {
   std::optional<io::Nanos> confirmed;
-  ReleaseCalls made;
-  lease.calls_open = 0;
+  ReleaseCalls calls_made;
+  lease.open_calls = 0;
   io::Scope calls(loop_);
-  const auto over = [&] { return confirmed.has_value() || lease.hold.state() != HoldState::releasing; };
+  const auto finished = [&] { return confirmed.has_value() || lease.hold.state() != HoldState::releasing; };
   const io::Nanos until = loop_.now() + kReleaseGiveUpAfter;
   while (loop_.now() < until) {
-    std::vector<ReleaseCandidate> workers = candidates(lease);
-    for (ReleaseCandidate& candidate : workers) candidate.calls_made = made.told[candidate.worker];
-    if (!workers.empty()) {
-      const ReleaseCandidate& next = next_release_target(workers);
-      ++made.told[next.worker], ++made.count;
-      ++lease.calls_open;
-      calls.spawn(tell(lease, next.worker, needs_new_connection(next), made, confirmed));
+    std::vector<ReleaseCandidate> candidates = release_candidates(lease);
+    for (ReleaseCandidate& candidate : candidates)
+      candidate.calls_made = calls_made.per_worker[candidate.worker];
+    if (!candidates.empty()) {
+      const ReleaseCandidate& target = next_release_target(candidates);
+      ++calls_made.per_worker[target.worker];
+      ++calls_made.total;
+      ++lease.open_calls;
+      calls.spawn(call_worker(lease, target.worker, needs_new_connection(target), calls_made, confirmed));
     }
-    const io::Nanos began = loop_.now();
-    const auto next_call = [&] { return began + pause_after(std::max(made.count - 1, 0)); };
-    while (!over() && loop_.now() < next_call()) co_await io::wait_until(loop_, lease.changed, next_call());
-    if (over()) co_return confirmed;
-    check_held(lease);
+    const io::Nanos called_at = loop_.now();
+    const auto next_call = [&] { return called_at + delay_after(std::max(calls_made.total - 1, 0)); };
+    while (!finished() && loop_.now() < next_call())
+      co_await io::wait_until(loop_, lease.changed, next_call());
+    if (finished()) co_return confirmed;
+    check_hold_limit(lease);
   }
   co_return std::nullopt;
 }
 
-io::Task<> KvReleaser::tell(KvLease& lease, int worker, bool on_new_connection, ReleaseCalls& made,
-                            std::optional<io::Nanos>& confirmed) {
-  const WorkerEntry* link = fleet_.find(worker);
-  if (link == nullptr) {  // forgotten since it was chosen
-    --lease.calls_open;
+io::Task<> KvReleaser::call_worker(KvLease& lease, int worker, bool on_new_connection,
+                                   ReleaseCalls& calls_made, std::optional<io::Nanos>& confirmed) {
+  const WorkerEntry* entry = fleet_.find(worker);
+  if (entry == nullptr) {  // forgotten since it was selected
+    --lease.open_calls;
     co_return;
   }
-  const WorkerRef told{worker, link->identity};
+  const WorkerRef called_worker{worker, entry->identity};
   lease.trace.add({.at = loop_.now(),
                    .step = TraceStep::release_told,
                    .kv = lease.hold.state(),
                    .worker = worker,
                    .detail = on_new_connection ? "new connection" : "any connection"});
-  // Asked once a connection is there: what was held may have been taken meanwhile.
-  io::Nanos written = 0;
+  // Evaluated once a connection is available: a decode worker may have taken the KV cache in the meantime.
+  io::Nanos written_at = 0;
   const std::function<bool()> still_wanted = [&] {
-    written = loop_.now();
+    written_at = loop_.now();
     return lease.hold.state() == HoldState::releasing;
   };
-  const auto answer = co_await io::with_deadline(
-      loop_, loop_.now() + release_call_timeout(limit_),
-      http::exchange(link->pool, lease.exchange->release_request(0, link->listed.address), still_wanted,
+  const auto response = co_await io::with_deadline(
+      loop_, loop_.now() + release_call_timeout(hold_limit_),
+      http::exchange(entry->pool, lease.exchange->release_request(0, entry->listed.address), still_wanted,
                      on_new_connection ? http::Reuse::never : http::Reuse::allowed, http::Priority::release));
-  if (answer) --lease.calls_open;
-  if (answer && answer->at_capacity) --made.told[worker], --made.count;  // nobody was told
-  if (!answer || !answer->ok() || answer->head.status / 100 != 2) co_return;
-  if (find(told) != nullptr) fleet_.at(worker).record_answer(written, loop_.now());
+  if (response) --lease.open_calls;
+  if (response && response->at_capacity) {  // not sent, as there was no connection
+    --calls_made.per_worker[worker];
+    --calls_made.total;
+  }
+  if (!response || !response->ok() || response->head.status / 100 != 2) co_return;
+  if (find(called_worker) != nullptr) fleet_.at(worker).record_answer(written_at, loop_.now());
   lease.trace.add(
       {.at = loop_.now(), .step = TraceStep::release_heard, .kv = lease.hold.state(), .worker = worker});
-  confirmed = written;
+  confirmed = written_at;
   lease.changed.notify();
 }
 
-// The workers that run by the list, and those that hold something or may.
-std::vector<ReleaseCandidate> KvReleaser::candidates(const KvLease& lease) const {
-  std::vector<ReleaseCandidate> out;
+// The workers that are listed as running, and those that hold or may hold KV cache of the request.
+std::vector<ReleaseCandidate> KvReleaser::release_candidates(const KvLease& lease) const {
+  std::vector<ReleaseCandidate> candidates;
   const auto add = [&](int worker) {
-    const WorkerEntry& link = fleet_.at(worker);
-    const bool heard_lately = link.last_heard > 0 && loop_.now() - link.last_heard <= limit_;
-    return &out.emplace_back(ReleaseCandidate{.worker = worker,
-                                              .last_heard = link.last_heard,
-                                              .has_connection = heard_lately && link.pool->has_reusable(),
-                                              .draining = link.not_ready_since > 0});
+    const WorkerEntry& entry = fleet_.at(worker);
+    const bool heard_recently = entry.last_heard > 0 && loop_.now() - entry.last_heard <= hold_limit_;
+    return &candidates.emplace_back(
+        ReleaseCandidate{.worker = worker,
+                         .last_heard = entry.last_heard,
+                         .has_connection = heard_recently && entry.pool->has_reusable(),
+                         .draining = entry.not_ready_since > 0});
   };
   for (const int worker : fleet_.running_workers()) add(worker);
-  const auto candidate = [&](const WorkerRef& worker) {
-    const auto listed = std::ranges::find(out, worker.index, &ReleaseCandidate::worker);
-    return listed != out.end() ? &*listed : add(worker.index);
+  const auto candidate_for = [&](const WorkerRef& worker) {
+    const auto existing = std::ranges::find(candidates, worker.index, &ReleaseCandidate::worker);
+    return existing != candidates.end() ? &*existing : add(worker.index);
   };
   for (const WorkerRef& worker : lease.prefilled_at)
-    if (find(worker) != nullptr) candidate(worker);
-  const bool wants_proof = hurries_until_ != kNever || lease.releases_confirmed >= kReleasesBeforeProof;
-  if (!wants_proof) return out;
+    if (find(worker) != nullptr) candidate_for(worker);
+  const bool needs_proof = expedited_until_ != kNever || lease.releases_confirmed >= kReleasesBeforeProof;
+  if (!needs_proof) return candidates;
   lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) {
-    if (find(worker) != nullptr) candidate(worker)->has_unresolved_attempt = true;
+    if (find(worker) != nullptr) candidate_for(worker)->has_unresolved_attempt = true;
   });
-  return out;
+  return candidates;
 }
 
 void KvReleaser::release_at(int worker, std::string text) {
   counters_.count_release_requested();
-  calls_.spawn(tell_at(fleet_.at(worker).pool, std::move(text)));
+  direct_calls_.spawn(call_with_retries(fleet_.at(worker).pool, std::move(text)));
 }
 
-io::Task<> KvReleaser::tell_at(std::shared_ptr<http::Pool> pool, std::string text) {
-  // Told again for a while: a reader that cannot be reached may be busy, or gone with all that it held.
+io::Task<> KvReleaser::call_with_retries(std::shared_ptr<http::Pool> pool, std::string text) {
+  // Retried for a while: a prefill worker that cannot be reached may be busy, or gone together with its KV
+  // cache.
   for (int i = 0; i < 4; ++i) {
-    const auto told = co_await io::with_deadline(loop_, loop_.now() + limit_ / 4, http::exchange(pool, text));
-    if (told && told->ok()) co_return;
-    co_await loop_.sleep_for(limit_ / 20);
+    const auto response =
+        co_await io::with_deadline(loop_, loop_.now() + hold_limit_ / 4, http::exchange(pool, text));
+    if (response && response->ok()) co_return;
+    co_await loop_.sleep_for(hold_limit_ / 20);
   }
 }
 
--- a/router/kv_releaser.h
+++ b/router/kv_releaser.h
@@ -1,6 +1,6 @@
-// Owns the leases on the KV cache of requests: begins a release when a lease says that one is due, tells workers until one has
-// confirmed it, and gathers the evidence that ends the lease. A lease ends by that evidence alone, whatever becomes of its
-// request.
+// Owns the leases on the KV cache of requests. Starts a release when a lease requires one, calls workers
+// until one of them confirms it, and collects the evidence that ends the lease. Only that evidence ends a
+// lease, regardless of what becomes of its request.
 #pragma once
 
 #include <functional>
@@ -22,67 +22,72 @@
 
 class KvReleaser {
  public:
-  // released: a worker has confirmed that nothing is held any more for a request that is not over.
+  // on_released is called when a worker has confirmed that nothing is held any more for a request that is not
+  // over.
   KvReleaser(io::Loop& loop, Fleet& fleet, core::Log& log, core::Counters& counters,
-             core::Invariants& invariants, TraceWriter& traces, io::Nanos limit,
-             std::function<void(const KvLease&)> released);
+             core::Invariants& invariants, TraceWriter& traces, io::Nanos hold_limit,
+             std::function<void(const KvLease&)> on_released);
 
-  // For a request that is taken. Costs nothing until its first prefill is written.
-  std::shared_ptr<KvLease> open_lease(std::string request_id, std::unique_ptr<Exchange> talk) const {
-    return std::make_shared<KvLease>(loop_, limit_, std::move(request_id), std::move(talk));
+  // Creates the lease of a new request. It is not registered until its first prefill is written.
+  std::shared_ptr<KvLease> open_lease(std::string request_id, std::unique_ptr<Exchange> exchange) const {
+    return std::make_shared<KvLease>(loop_, hold_limit_, std::move(request_id), std::move(exchange));
   }
-  // An event of that request, or of one of its attempts, at this moment.
-  void note(const std::shared_ptr<KvLease>& lease, HoldEvent event);
-  void note_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt, int worker,
-                    io::Nanos runs_for);
-  // The request has its final answer, or its client has left, and no attempt will follow. May be said more than once.
+  // Records an event of the request, or of one of its attempts, that happens now.
+  void record(const std::shared_ptr<KvLease>& lease, HoldEvent event);
+  void record_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt, int worker,
+                      io::Nanos assumed_run_time);
+  // The request has its final response, or its client has left, and no further attempt will follow. May be
+  // called repeatedly.
   void request_over(const std::shared_ptr<KvLease>& lease);
-  // Nobody refers to the request any more, so that no attempt of it will report its end.
+  // The request has been destroyed, so that none of its attempts will report its end.
   void request_gone(const std::shared_ptr<KvLease>& lease);
-  // Waits a moment for a release that is to come before a further prefill.
-  io::Task<> release_first(std::shared_ptr<KvLease> lease);
-  // Whether this process still owes a release that may reach a worker: nobody else will see to it, should it end before.
+  // Suspends for a short, bounded time until a release that has to precede a further prefill is confirmed.
+  io::Task<> await_release_before_prefill(std::shared_ptr<KvLease> lease);
+  // Whether a pending release may still reach a worker. No other process completes it if this one exits.
   bool owes_release() const;
-  // The process ends soon: releases that go on until more is known follow each other closely, and are not owed for long.
+  // Called as the process is about to exit: shortens the pauses between repeated releases and bounds the time
+  // for which they are still owed.
   void expedite();
 
-  // Where each prefill's KV cache is released at its own worker: tells that one, some times.
+  // For protocols that release each prefill's KV cache at its own worker: sends the request text there, with
+  // a few retries.
   void release_at(int worker, std::string text);
-  // Whether such a call is under way.
-  bool has_open_calls() const { return !calls_.empty(); }
-  // Leases of requests that are still reported end with this; nothing more is released.
+  // Whether a call of release_at() is in progress.
+  bool has_open_calls() const { return !direct_calls_.empty(); }
+  // Cancels all releases and ignores the end of requests from then on.
   void cancel();
 
  private:
-  static constexpr int kNone = -1;  // no attempt, no worker
-  void noted(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before, bool possible,
-             int attempt = kNone, int worker = kNone);
-  void keep(const std::shared_ptr<KvLease>& lease);
-  void drop_if_free(const std::shared_ptr<KvLease>& lease);
-  void watch(const std::shared_ptr<KvLease>& lease, io::Nanos not_before = 0);
-  io::Task<> watch_due();
-  void look_at(const std::shared_ptr<KvLease>& lease);
-  void begin(const std::shared_ptr<KvLease>& lease);
-  void check_held(KvLease& lease);
-  io::Task<> release(std::shared_ptr<KvLease> lease);
-  io::Task<> release_until_free(const std::shared_ptr<KvLease>& lease);
-  bool hurries() const { return hurries_until_ != kNever; }
-  io::Nanos pause_after(int calls) const;
+  static constexpr int kNone = -1;  // no attempt or no worker
+  void after_event(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before, bool possible,
+                   int attempt = kNone, int worker = kNone);
+  void register_lease(const std::shared_ptr<KvLease>& lease);
+  void unregister_if_released(const std::shared_ptr<KvLease>& lease);
+  void schedule_check(const std::shared_ptr<KvLease>& lease, io::Nanos not_before = 0);
+  io::Task<> run_scheduled_checks();
+  void check_lease(const std::shared_ptr<KvLease>& lease);
+  void start_release(const std::shared_ptr<KvLease>& lease);
+  void check_hold_limit(KvLease& lease);
+  io::Task<> run_release(std::shared_ptr<KvLease> lease);
+  io::Task<> release_until_proved(const std::shared_ptr<KvLease>& lease);
+  bool expedited() const { return expedited_until_ != kNever; }
+  io::Nanos delay_after(int calls) const;
   io::Nanos next_release_at(const KvLease& lease) const;
-  void confirmed(const std::shared_ptr<KvLease>& lease, io::Nanos written, bool ordered);
-  // When the release that a worker confirmed had been written; none where none did.
-  io::Task<std::optional<io::Nanos>> tell_until_confirmed(KvLease& lease);
-  // The calls of one release that had a connection.
+  void handle_confirmation(const std::shared_ptr<KvLease>& lease, io::Nanos written_at,
+                           bool ordered_by_policy);
+  // Returns when the confirmed release was written, or nothing if no worker confirmed one.
+  io::Task<std::optional<io::Nanos>> call_until_confirmed(KvLease& lease);
+  // The calls made for one release; those that got no connection are not counted.
   struct ReleaseCalls {
-    std::unordered_map<int, int> told;  // how often each worker was
-    int count{};
+    std::unordered_map<int, int> per_worker;  // by worker index
+    int total{};
   };
-  io::Task<> tell(KvLease& lease, int worker, bool on_new_connection, ReleaseCalls& made,
-                  std::optional<io::Nanos>& confirmed);
-  std::vector<ReleaseCandidate> candidates(const KvLease& lease) const;
+  io::Task<> call_worker(KvLease& lease, int worker, bool on_new_connection, ReleaseCalls& calls_made,
+                         std::optional<io::Nanos>& confirmed);
+  std::vector<ReleaseCandidate> release_candidates(const KvLease& lease) const;
   const WorkerEntry* find(const WorkerRef& worker) const;
-  void gather_evidence(KvLease& lease);
-  io::Task<> tell_at(std::shared_ptr<http::Pool> pool, std::string text);
+  void collect_evidence(KvLease& lease);
+  io::Task<> call_with_retries(std::shared_ptr<http::Pool> pool, std::string text);
 
   io::Loop& loop_;
   Fleet& fleet_;
@@ -90,23 +95,23 @@
   core::Counters& counters_;
   core::Invariants& invariants_;
   TraceWriter& traces_;
-  const io::Nanos limit_;
-  std::function<void(const KvLease&)> released_;
-  struct Due {
-    io::Nanos at{};
+  const io::Nanos hold_limit_;
+  std::function<void(const KvLease&)> on_released_;
+  struct ScheduledCheck {
+    io::Nanos due_at{};
     std::weak_ptr<KvLease> lease;
   };
-  struct Later {
-    bool operator()(const Due& a, const Due& b) const { return a.at > b.at; }
+  struct LaterCheck {
+    bool operator()(const ScheduledCheck& a, const ScheduledCheck& b) const { return a.due_at > b.due_at; }
   };
-  std::priority_queue<Due, std::vector<Due>, Later> due_;  // the earliest first
-  io::Signal earlier_due_;
-  std::vector<std::shared_ptr<KvLease>> leases_;  // those that may cover something, or that a task has
-  io::Nanos hurries_until_{kNever};
+  std::priority_queue<ScheduledCheck, std::vector<ScheduledCheck>, LaterCheck> scheduled_checks_;
+  io::Signal earlier_check_added_;
+  std::vector<std::shared_ptr<KvLease>> leases_;  // that may cover KV cache or have a release running
+  io::Nanos expedited_until_{kNever};
   bool cancelled_{};
-  io::Scope clock_;  // nothing is released without it
-  io::Scope tasks_;
-  io::Scope calls_;  // of release_at()
+  io::Scope check_task_;  // ends the process on an exception, as nothing is released without it
+  io::Scope release_tasks_;
+  io::Scope direct_calls_;  // of release_at()
 };
 
 }  // namespace cressrill::router
