--- a/router/fleet.h
+++ b/router/fleet.h
@@ -1,4 +1,5 @@
-// The workers that the list has named: small indices for their names, and the connections to each.
+// The workers named by the worker lists: assigns them small indices, which the policy uses, and holds the
+// connections to each.
 #pragma once
 
 #include <algorithm>
@@ -16,70 +17,72 @@
 
 namespace cressrill::router {
 
+// A worker as listed last, with its connections. All times are on the monotonic clock.
 struct WorkerEntry {
   core::ListedWorker listed;
   int kind{};
   int zone{};
   int cell{};
   std::uint64_t identity{};
-  io::Nanos not_ready_since{};        // told that it drains or is gone; 0: it is ready
-  std::uint64_t not_ready_version{};  // of the list that told it, and who told that
-  int not_ready_source{};
-  io::Nanos started_at{};         // on the monotonic clock; 0: long ago
-  std::uint64_t start_version{};  // of the list that told that start, and who told it
-  int start_source{};
-  io::Nanos last_heard{};                // an answer came last, and
-  io::Nanos answered_call_written_at{};  // the latest call that was answered had been written
-  std::shared_ptr<http::Pool> pool;      // attempts that are out keep an old address's pool alive
+  io::Nanos not_ready_since{};           // when it was first listed as draining or gone; 0: it is ready
+  std::uint64_t not_ready_version{};     // version of the list that said so
+  int not_ready_source{};                // discovery agent that sent that list
+  io::Nanos started_at{};                // 0: unknown, long ago
+  std::uint64_t start_version{};         // version of the list that named this start
+  int start_source{};                    // discovery agent that sent that list
+  io::Nanos last_heard{};                // when its latest response was received
+  io::Nanos answered_call_written_at{};  // when the latest call that it has answered was written
+  std::shared_ptr<http::Pool> pool;  // shared with attempts, which keep the pool of a former address alive
 
-  void record_answer(io::Nanos call_written, io::Nanos now) {
+  void record_answer(io::Nanos call_written_at, io::Nanos now) {
     last_heard = now;
-    answered_call_written_at = std::max(answered_call_written_at, call_written);
+    answered_call_written_at = std::max(answered_call_written_at, call_written_at);
   }
 };
 
+// All known workers. An index stays valid until forget().
 class Fleet {
  public:
-  Fleet(io::Loop& loop, const core::RouterConfig& station, core::Log& log);
-  // Takes a list and tells the decisions. Entries that cannot be used are logged and left out.
+  Fleet(io::Loop& loop, const core::RouterConfig& config, core::Log& log);
+  // Applies a list and passes it on to the policy. Invalid entries are logged and skipped.
   void apply_list(const core::WorkerList& list, Policy& policy);
-  // Discovery was heard, and the list in force is current.
+  // Discovery has confirmed that the current list is up to date.
   void confirm_current() { start_times_.record_current(loop_.now()); }
-  WorkerEntry& at(int worker) { return *links_[static_cast<std::size_t>(worker)]; }
-  const WorkerEntry& at(int worker) const { return *links_[static_cast<std::size_t>(worker)]; }
-  // Null where that worker is forgotten.
-  const WorkerEntry* find(int worker) const { return links_[static_cast<std::size_t>(worker)].get(); }
-  // That worker is gone for good; its index is used again.
+  WorkerEntry& at(int worker) { return *entries_[static_cast<std::size_t>(worker)]; }
+  const WorkerEntry& at(int worker) const { return *entries_[static_cast<std::size_t>(worker)]; }
+  // Null if that worker was forgotten.
+  const WorkerEntry* find(int worker) const { return entries_[static_cast<std::size_t>(worker)].get(); }
+  // Removes a worker that is gone for good; its index is reused.
   void forget(int worker);
-  // Those that are listed as ready.
+  // Workers that are listed as ready.
   std::vector<int> ready_workers() const;
-  // Those that are listed as ready or draining: by the list, their processes run.
+  // Workers that are listed as ready or draining, so that their processes should be running.
   std::vector<int> running_workers() const;
-  // Null where a worker was forgotten.
-  const std::vector<std::unique_ptr<WorkerEntry>>& entries() const { return links_; }
+  // By index; null where a worker was forgotten.
+  const std::vector<std::unique_ptr<WorkerEntry>>& entries() const { return entries_; }
   Role role(int worker) const;
-  // The whole list as it is now known.
+  // The complete list as it is known now.
   core::WorkerList current_list() const;
 
  private:
   WorkerEntry* update_entry(const core::WorkerList& list, const core::ListedWorker& listed, int& index);
-  bool takes_back(const core::WorkerList& list, const core::ListedWorker& listed,
-                  const WorkerEntry& link) const;
-  void note_start(const core::WorkerList& list, std::int64_t boot, WorkerEntry& link);
-  void note_standing(const core::WorkerList& list, WorkerStatus standing, WorkerEntry& link);
-  void drop_unlisted(const core::WorkerList& list);
+  bool is_stale_ready(const core::WorkerList& list, const core::ListedWorker& listed,
+                      const WorkerEntry& entry) const;
+  void record_start(const core::WorkerList& list, std::int64_t start_time, WorkerEntry& entry);
+  void update_status(const core::WorkerList& list, WorkerStatus status, WorkerEntry& entry);
+  void mark_unlisted_gone(const core::WorkerList& list);
   io::Loop& loop_;
-  const core::RouterConfig& station_;
+  const core::RouterConfig& config_;
   core::Log& log_;
   StartTimes start_times_;
-  std::uint64_t version_{};
-  int source_{};                                    // of the last list,
-  std::uint64_t source_version_{};                  // and the version of the first that it told
-  std::shared_ptr<http::ConnectionBudget> budget_;  // for the connections to all workers
-  std::vector<std::unique_ptr<WorkerEntry>> links_;
-  std::vector<int> free_;  // indices of workers that were forgotten
-  std::unordered_map<std::string, int> index_;
-  std::unordered_map<std::string, int> cells_;
+  std::uint64_t list_version_{};
+  int list_source_{};                                          // agent that sent the latest list
+  std::uint64_t source_first_version_{};                       // version of the first list from that agent
+  std::shared_ptr<http::ConnectionBudget> connection_budget_;  // shared by the pools of all workers
+  std::vector<std::unique_ptr<WorkerEntry>> entries_;
+  std::vector<int> free_indices_;
+  std::unordered_map<std::string, int> index_by_name_;
+  std::unordered_map<std::string, int> cell_indices_;
 };
 
 }  // namespace cressrill::router
--- a/router/start_times.h
+++ b/router/start_times.h
@@ -1,7 +1,8 @@
-// Places the starts of workers, which discovery tells in wall-clock time, on the monotonic clock. Either wall clock may have
-// been stepped, so a start is believed only within what the monotonic clock allows; where two placements are possible the
-// later one is taken, as a worker that is cold for longer than it had to be costs less than one that falls over. Free of
-// clocks: the caller hands in the time.
+// Converts the start times of workers, which discovery reports in wall-clock time, to the monotonic clock.
+// Either machine's wall clock may have been stepped, so a start time is trusted only within the bounds that
+// the monotonic clock proves. If two conversions are possible, the later one is taken: keeping a worker in
+// slow start too long costs less than overloading one that has just started. Reads no clock; the caller
+// passes the time.
 #pragma once
 
 #include <algorithm>
@@ -13,24 +14,25 @@
 
 class StartTimes {
  public:
-  // What the wall clock of this machine shows at monotonic zero, as read now. It changes with each step, and the least of
-  // all that were seen places a start latest.
-  void record_wall_offset(Nanos offset) { least_offset_ = std::min(least_offset_, offset); }
-  // The list in force was current then: a start that it does not name came later, or was known to discovery later.
-  void record_current(Nanos now) { current_at_ = now; }
+  // offset: what the wall clock of this machine shows at monotonic zero, as read now. Each step of the clock
+  // changes it; the smallest offset seen gives the latest start.
+  void record_wall_offset(Nanos offset) { min_wall_offset_ = std::min(min_wall_offset_, offset); }
+  // The current list was up to date at that time: a start that it does not name happened later or became
+  // known to discovery later.
+  void record_current(Nanos now) { list_current_at_ = now; }
 
-  // A start that is told now, as Unix time. A process that has just begun knows no list that was current before, and can
-  // only believe the wall clock: then a start lies anywhere in the past.
-  Nanos to_monotonic(Nanos boot, Nanos now) const {
-    const Nanos placed = std::min(now, boot - least_offset_);
-    const bool too_early = current_at_ > 0 && placed < current_at_ - kNoticeLag;
-    return std::max<Nanos>(1, too_early ? now : placed);
+  // Converts a start time (Unix time) that is reported now. A router that has just started knows of no
+  // earlier up-to-date list and has to trust the wall clock: the start may then lie anywhere in the past.
+  Nanos to_monotonic(Nanos start_time, Nanos now) const {
+    const Nanos converted = std::min(now, start_time - min_wall_offset_);
+    const bool too_early = list_current_at_ > 0 && converted < list_current_at_ - kDiscoveryLag;
+    return std::max<Nanos>(1, too_early ? now : converted);
   }
 
  private:
-  static constexpr Nanos kNoticeLag = 10'000'000'000;  // discovery may hear of a start so late itself
-  Nanos least_offset_{std::numeric_limits<Nanos>::max()};
-  Nanos current_at_{};  // 0: no list of discovery was told yet
+  static constexpr Nanos kDiscoveryLag = 10'000'000'000;  // 10 s: discovery may learn of a start this late
+  Nanos min_wall_offset_{std::numeric_limits<Nanos>::max()};
+  Nanos list_current_at_{};  // 0: no list from discovery yet
 };
 
 }  // namespace cressrill::router
