--- a/router/protocol.h
+++ b/router/protocol.h
@@ -1,6 +1,6 @@
-// What differs between the protocols that a host speaks: how a request is read, what an attempt sends, what comes
-// back means, how a state is let go, and what the client gets in the end. No sockets: texts in, facts out. It
-// decides nothing (docs/design/platform.md).
+// The parts of the host that depend on the protocol: how a client's request is parsed, what an attempt sends,
+// what a worker's response means, how KV cache is released, and what the client gets in the end. Works on
+// texts only, without sockets, and makes no scheduling decisions (docs/design/platform.md).
 #pragma once
 
 #include <memory>
@@ -14,113 +14,120 @@
 
 namespace cressrill::router {
 
-// How a sequence ended for its client.
+// How a request ended for its client.
 enum class RequestOutcome { none, generated, rejected, aborted, broken, engine_refused };
-const char* to_string(RequestOutcome final);
+const char* to_string(RequestOutcome outcome);
 
-// What the decisions are told of a sequence when it is taken.
+// The properties of a request that the policy is given on arrival.
 struct RequestInfo {
   std::string id;
   int type{};
   int tenant{};
   std::uint64_t session{};      // 0: none
   std::uint64_t prefix_hash{};  // 0: none
-  double prompt_tokens{};       // tokens, as the next two
+  double prompt_tokens{};
   double prefix_tokens{};
   double max_output_tokens{};
-  Nanos time_limit{};
+  Nanos time_limit{};  // from arrival to the deadline
 };
 
-// One schedule attempt, for the text of its request.
+// A schedule attempt, as needed to build its request.
 struct AttemptInfo {
   int number{};
   bool is_prefill{};
-  std::string_view worker_address;  // its address
+  std::string_view worker_address;
   std::string_view
-      kv_transfer_params;  // of a write: what the read that it follows left, as its answer named it
-  Nanos timeout{};         // how long it will be waited for
+      kv_transfer_params;  // of a decode attempt: from the response of the prefill that it follows
+  Nanos timeout{};         // how long its response is awaited
 };
-// body: views into the sequence's own texts and into what this holds; the head comes first among its parts.
+// A request to a worker. The parts of body are views into head, which comes first, into the rest of body, and
+// into texts of the exchange.
 struct RequestText {
   std::string head;
   core::EngineBody body;
 };
 
-// What an answer of a worker means that is no stream.
+// The meaning of a worker's response that is not a stream.
 struct ResponseMeaning {
   Outcome outcome{};
   double cached_tokens{};
-  std::string kv_transfer_params;  // of a read
-  bool is_client_error{};          // the request itself is at fault: the client gets this answer
+  std::string kv_transfer_params;  // of a prefill
+  bool is_client_error{};          // the request itself is invalid: the client gets an error, without a retry
 };
 
-// What an event of a stream means.
+// The meaning of one event of a stream.
 struct StreamEvent {
   bool readable{true};
-  bool has_content{};  // the answer has begun
+  bool has_content{};  // part of the generated response
   bool is_last{};
   bool usage_only{};
   double cached_tokens{};
 };
 
-// A whole answer of ours.
+// A complete response that the router itself sends to a client.
 struct Reply {
   int status{};
-  std::string fields;
+  std::string fields;  // header lines
   std::string body;
-  bool is_refusal{};       // nothing is done; the connection ends after it,
-  bool keep_connection{};  // unless what is sent behind may be sound
+  bool is_refusal{};  // the request is not processed, and the connection closes unless keep_connection is set
+  bool keep_connection{};  // further requests on the connection may be valid
 };
 
-// How an answer to a client ends.
+// How the response to a client ends.
 struct FinalResponse {
-  Reply reply;            // where no stream has begun
-  bool is_stream{};       // generated as a stream: begun or not, it ends as one
-  std::string last_part;  // where a stream has begun: its last part
-  bool truncate{};        // where a stream has begun: its connection ends without the last chunk
-  bool close_after{};     // the connection is not kept
+  Reply reply;            // the response, if no stream has started
+  bool is_stream{};       // the response is a stream and ends as one, even if no part of it has been sent
+  std::string last_part;  // of a started stream
+  bool truncate{};        // the connection of a started stream closes without the last chunk
+  bool close_after{};     // the connection closes after the response
 };
 
-// One sequence as its protocol sees it, for as long as it is in hand.
+// The protocol's state of one request. Lives until the request and its KV cache lease are finished.
 class Exchange {
  public:
   virtual ~Exchange() = default;
   virtual void build_request(const AttemptInfo& attempt, RequestText& to) = 0;
   virtual ResponseMeaning interpret_response(const AttemptInfo& attempt, const http::Head& head,
                                              std::string body) = 0;
-  // data: followed by http::kSlack readable bytes. bound: of the stream that the client gets, past its beginning.
-  virtual StreamEvent interpret_event(std::string_view data, bool bound) = 0;
-  // That event begins the stream that the client gets.
-  virtual void stream_started(std::string_view) {}
-  // Appends what the client gets of an event of the bound stream; raw: the event as it came.
-  virtual void forward_event(std::string_view data, std::string_view raw, const StreamEvent& heard,
+  // data is followed by http::kReadPaddingBytes readable bytes. started: the event belongs to the client's
+  // stream, after the event with which that stream started.
+  virtual StreamEvent interpret_event(std::string_view data, bool started) = 0;
+  // Called with the event with which the client's stream starts, after interpret_event().
+  virtual void stream_started(std::string_view /*data*/) {}
+  // Appends what the client gets for an event of its stream. raw: the event as received.
+  virtual void forward_event(std::string_view data, std::string_view raw, const StreamEvent& event,
                              std::string& to) = 0;
-  // Bytes kept of an answer that is to be passed on whole.
+  // Bytes buffered of a response that is sent to the client only once it is complete.
   virtual std::size_t buffered_bytes() const { return 0; }
-  virtual FinalResponse final_response(RequestOutcome final, bool late, Nanos retry_after) = 0;
-  // The request that lets go of what an attempt left at that worker.
+  // late: the deadline has come or is close.
+  virtual FinalResponse final_response(RequestOutcome outcome, bool late, Nanos retry_after) = 0;
+  // The text of the request that releases the KV cache an attempt left at a worker. worker: its address.
   virtual std::string release_request(int attempt, std::string_view worker) = 0;
-  // No attempt will need the request's body again.
+  // Frees the request's body, which no further attempt will need.
   virtual void drop_body() = 0;
 };
 
+// A protocol between clients, router and workers. Creates an Exchange for each request; must outlive them.
 class Protocol {
  public:
-  // Where protocols want other things of their host.
+  // How the host has to act for this protocol.
   struct Traits {
-    bool single_release{};  // letting go frees all that is held for a sequence, at any worker, and is the
-                            // decisions' alone; else each state is let go of where it lies
+    // One release, sent to any worker, frees all KV cache held for a request, and KvHold decides when it is
+    // sent. Otherwise each prefill's KV cache is released at its own worker.
+    bool single_release{};
     bool partial_request_never_runs{};   // a request whose last byte was not written is known not to have run
-    bool complete_without_last_event{};  // a stream is whole with its last chunk, whatever its last event
+    bool complete_without_last_event{};  // the last chunk completes a stream, whatever its last event was
     std::size_t max_event_bytes{1024 * 1024};
   };
   virtual ~Protocol() = default;
   virtual Traits traits() const = 0;
-  // A request that is taken (to is filled), or what it is answered with.
+  // Parses a client's request. Returns an exchange and fills to if the request is accepted, or else the reply
+  // to it.
   virtual std::variant<std::unique_ptr<Exchange>, Reply> open_exchange(http::Request& request,
                                                                        RequestInfo& to) = 0;
+  // Header lines of a streamed response.
   virtual std::string_view stream_fields() const = 0;
-  // The load that a worker reports beside an answer, and in a comment line of a stream.
+  // The load that a worker reports in the head of a response, or in a comment line of a stream.
   virtual LoadReport parse_load_report(const http::Head& head) const = 0;
   virtual LoadReport parse_load_report(std::string_view comment) const = 0;
 };
--- a/router/request_trace.h
+++ b/router/request_trace.h
@@ -1,5 +1,6 @@
-// The last steps of one request, in a bounded ring: kept at no cost in the log, and written out where the request ends
-// wrongly, was held too long, or an operator asks.
+// The last steps of one request in a ring buffer of fixed size. They cost no log lines until they are written
+// out: when the request ends without a result, when its KV cache is held too long, or when an operator asks
+// for them.
 #pragma once
 
 #include <array>
@@ -12,17 +13,17 @@
 namespace cressrill::router {
 
 enum class TraceStep : std::uint8_t {
-  taken,
-  decided,        // an attempt at a worker
-  connected,      // stood: how long its connection had been kept unused; negative: a new one
-  written,        // bytes of its request
-  answered,       // the head of its answer has come
-  ended,          // detail: its outcome
+  taken,          // the request was accepted
+  decided,        // the policy decided on an attempt at a worker
+  connected,      // the attempt has a connection; see idle_time
+  written,        // the request was written, completely or in part; see bytes
+  answered,       // the head of the response was received
+  ended,          // the attempt has ended; detail: its outcome
   kv_event,       // detail: the event
-  release_told,   // a worker
-  release_heard,  // by that worker
+  release_told,   // a release was sent to a worker
+  release_heard,  // that worker confirmed it
   client_left,
-  settled,  // detail: the final answer
+  settled,  // the request has its final outcome; detail: that outcome
 };
 constexpr std::array<const char*, 11> kStepNames{"taken",         "decided",     "connected", "written",
                                                  "answered",      "ended",       "kv_event",  "release_told",
@@ -31,31 +32,31 @@
 struct TraceEntry {
   io::Nanos at{};
   TraceStep step{};
-  HoldState kv{};  // after it
+  HoldState kv{};  // after this step
   std::int16_t attempt{-1};
   int worker{-1};
-  io::Nanos idle_time{};
+  io::Nanos idle_time{};  // of the connection before this use; negative: a new connection
   std::size_t bytes{};
-  const char* detail{""};  // a literal
+  const char* detail{""};  // must be a string literal
 };
 
 class RequestTrace {
  public:
   void add(const TraceEntry& entry) {
-    entries_[added_ % kKept] = entry;
-    ++added_;
+    entries_[added_count_ % kMaxEntries] = entry;
+    ++added_count_;
   }
-  std::size_t dropped() const { return added_ > kKept ? added_ - kKept : 0; }
-  // Calls take with each entry, the oldest first.
-  template <class Take>
-  void for_each(Take take) const {
-    for (std::size_t i = dropped(); i < added_; ++i) take(entries_[i % kKept]);
+  std::size_t dropped() const { return added_count_ > kMaxEntries ? added_count_ - kMaxEntries : 0; }
+  // Calls visit with each entry, oldest first.
+  template <class Visit>
+  void for_each(Visit visit) const {
+    for (std::size_t i = dropped(); i < added_count_; ++i) visit(entries_[i % kMaxEntries]);
   }
 
  private:
-  static constexpr std::size_t kKept = 24;
-  std::array<TraceEntry, kKept> entries_{};
-  std::size_t added_{};
+  static constexpr std::size_t kMaxEntries = 24;
+  std::array<TraceEntry, kMaxEntries> entries_{};
+  std::size_t added_count_{};
 };
 
 }  // namespace cressrill::router
--- a/router/trace_writer.h
+++ b/router/trace_writer.h
@@ -1,4 +1,5 @@
-// Writes the traces of requests to the log: one line a step, at the default level, and no more of them than a log takes.
+// Writes the traces of requests to the log, one line per step, at a level that is on by default and
+// rate-limited.
 #pragma once
 
 #include <string_view>
@@ -12,22 +13,23 @@
 class TraceWriter {
  public:
   TraceWriter(io::Loop& loop, core::Log& log, const Fleet& fleet) : loop_(loop), log_(log), fleet_(fleet) {}
-  // reason: why it is written. Past a rate of traces it is only counted, and the next one tells how many were.
+  // reason: why the trace is written. Beyond the rate limit a trace is only counted; the next one that is
+  // written logs the count.
   void write(std::string_view request, const RequestTrace& trace, const char* reason);
-  // At an operator's asking: not bounded by the rate.
+  // Writes the trace regardless of the rate limit.
   void write_unthrottled(std::string_view request, const RequestTrace& trace, const char* reason);
 
  private:
-  bool admit();
+  bool acquire_token();
 
   io::Loop& loop_;
   core::Log& log_;
   const Fleet& fleet_;
-  double tokens_{kBurst};
-  io::Nanos filled_{};
-  std::size_t withheld_{};
-  static constexpr double kBurst = 8;
-  static constexpr double kEachSecond = 1;
+  double tokens_{kBurstTraces};
+  io::Nanos refilled_at_{};
+  std::size_t suppressed_{};
+  static constexpr double kBurstTraces = 8;
+  static constexpr double kTracesPerSecond = 1;
 };
 
 }  // namespace cressrill::router
