--- a/router/engine_wire.h
+++ b/router/engine_wire.h
@@ -1,4 +1,4 @@
-// What engines answer, decoded (docs/design/engine-wire.md). No sockets: texts in, facts out.
+// Parses what engines respond with (docs/design/engine-wire.md). Works on texts only, without sockets.
 #pragma once
 
 #include <optional>
@@ -10,50 +10,54 @@
 
 namespace cressrill::router {
 
-// The load that an engine reports beside an answer: field 'endpoint-load-metrics', the TEXT form of ORCA.
+// The load that an engine reports in the response header 'endpoint-load-metrics', in ORCA's TEXT format.
 LoadReport parse_orca_load(const http::Head& head);
 
-// What a status other than 200 says of the attempt.
+// The meaning of a status other than 200.
 struct EngineError {
   Outcome outcome{};
-  bool is_client_error{};  // the request itself is at fault: the client gets this answer
+  bool is_client_error{};  // the request itself is invalid: the client gets an error, without a retry
 };
 EngineError parse_error_response(int status, std::string_view body);
 
 struct PrefillResponse {
-  std::string kv_transfer_params;  // kv_transfer_params, as it goes to the writer
+  std::string kv_transfer_params;  // JSON text, passed unchanged to the decode worker
   double cached_tokens{};
   double prompt_tokens{};
 };
-// Nothing where it is no answer to a read. body must be followed by http::kSlack readable bytes.
+// Returns nothing if body is not a valid prefill response. body must be followed by http::kReadPaddingBytes
+// readable bytes.
 std::optional<PrefillResponse> parse_prefill_response(std::string_view body);
 
+// One chunk of a streamed completion.
 struct StreamChunk {
   bool readable{};
-  bool has_content{};  // holds a choice: the stream flows
+  bool has_content{};  // holds at least one choice
   bool usage_only{};
   bool error{};
   double cached_tokens{};
   double prompt_tokens{};
 };
 class CompletionBuilder;
-// data must be followed by http::kSlack readable bytes. Where into is given, what the chunk holds is added to it.
-StreamChunk parse_chunk(std::string_view data, CompletionBuilder* into = nullptr);
+// data must be followed by http::kReadPaddingBytes readable bytes. If builder is given, the content of the
+// chunk is appended to it.
+StreamChunk parse_chunk(std::string_view data, CompletionBuilder* builder = nullptr);
 
-// A whole answer, put together from the chunks of a stream.
+// Assembles a complete (non-streamed) response from the chunks of a stream.
 class CompletionBuilder {
  public:
   std::string body(bool chat) const;
-  std::size_t bytes() const { return text_.size() + tools_.size() * 64; }
+  // The approximate size of the response so far.
+  std::size_t bytes() const { return content_.size() + tool_calls_.size() * 64; }
 
  private:
   friend class ChunkReader;
-  std::string id_, model_, text_, finish_, usage_;
+  std::string id_, model_, content_, finish_reason_, usage_;
   long long created_{};
-  struct Tool {
+  struct ToolCall {
     std::string id, name, arguments;
   };
-  std::vector<Tool> tools_;
+  std::vector<ToolCall> tool_calls_;
 };
 
 }  // namespace cressrill::router
--- a/router/openai.h
+++ b/router/openai.h
@@ -1,4 +1,4 @@
-// OpenAI's API towards clients, and the wire of our engines (docs/design/engine-wire.md).
+// OpenAI's API towards clients and the engines' protocol towards workers (docs/design/engine-wire.md).
 #pragma once
 
 #include "core/classify.h"
@@ -8,7 +8,7 @@
 
 class OpenAi final : public Protocol {
  public:
-  explicit OpenAi(const core::RouterConfig& station) : station_(station) {}
+  explicit OpenAi(const core::RouterConfig& config) : config_(config) {}
   Traits traits() const override { return {}; }
   std::variant<std::unique_ptr<Exchange>, Reply> open_exchange(http::Request& request,
                                                                RequestInfo& to) override;
@@ -20,9 +20,9 @@
 
  private:
   class CompletionExchange;
-  const core::RouterConfig& station_;
-  core::TokenEstimator estimate_;
-  std::uint64_t serial_{};
+  const core::RouterConfig& config_;
+  core::TokenEstimator token_estimator_;
+  std::uint64_t request_count_{};
 };
 
 }  // namespace cressrill::router
