--- a/router/instance.h
+++ b/router/instance.h
@@ -1,4 +1,4 @@
-// One running router: its ports, its host, its view of the roster.
+// A running router: its listeners, its host and its discovery client.
 #pragma once
 
 #include "openai.h"
@@ -8,25 +8,25 @@
 
 class Instance {
  public:
-  Instance(io::Loop& loop, const core::RouterConfig& station, core::Log& log, std::uint64_t seed,
-           const PolicyFactory& make);
+  Instance(io::Loop& loop, const core::RouterConfig& config, core::Log& log, std::uint64_t seed,
+           const PolicyFactory& create_policy);
   const io::Address& address() const { return server_.address(); }
   Host& host() { return host_; }
-  // Takes nothing new; true from settled() once all that was in hand is answered.
+  // Stops accepting connections. is_idle() turns true once all active requests are answered.
   void stop() { server_.stop_accepting(); }
   bool is_idle() const { return host_.live_requests() == 0 && server_.open_connections() == 0; }
-  // As a kill: every connection breaks.
+  // Breaks every connection, as if the process had been killed.
   void kill() { server_.kill(); }
 
  private:
-  io::Task<> admin(http::Request& request, http::ResponseWriter& answer);
-  const core::RouterConfig& station_;
+  io::Task<> handle_admin_request(http::Request& request, http::ResponseWriter& response);
+  const core::RouterConfig& config_;
   core::Counters counters_;
   OpenAi protocol_;
   Host host_;
-  RosterClient roster_;
+  RosterClient roster_client_;
   http::Server server_;
-  std::unique_ptr<http::Server> admin_;
+  std::unique_ptr<http::Server> admin_server_;
 };
 
 }  // namespace cressrill::router
--- a/router/roster_client.cpp
+++ b/router/roster_client.cpp
@@ -7,102 +7,104 @@
 namespace cressrill::router {
 
 namespace {
-constexpr io::Nanos kFirstPause = 100 * io::kMs;
-constexpr io::Nanos kLongestPause = 2 * io::kSecond;
+constexpr io::Nanos kMinReconnectDelay = 100 * io::kMs;
+constexpr io::Nanos kMaxReconnectDelay = 2 * io::kSecond;
 }  // namespace
 
-RosterClient::RosterClient(io::Loop& loop, const core::RouterConfig& station, core::Log& log, Host& host)
+RosterClient::RosterClient(io::Loop& loop, const core::RouterConfig& config, core::Log& log, Host& host)
     : loop_(loop),
-      station_(station),
+      config_(config),
       log_(log),
       host_(host),
-      pool_(std::make_shared<http::Pool>(loop, *io::parse_address(station.discovery_address))),
+      pool_(std::make_shared<http::Pool>(loop, *io::parse_address(config.discovery_address))),
       scope_(loop) {
-  read_last();
-  scope_.spawn(watch());
+  load_saved_list();
+  scope_.spawn(run());
 }
 
-void RosterClient::read_last() {
-  if (station_.last_list_path.empty()) return;
-  std::ifstream file(station_.last_list_path);
+void RosterClient::load_saved_list() {
+  if (config_.last_list_path.empty()) return;
+  std::ifstream file(config_.last_list_path);
   if (!file) return;
   std::stringstream text;
   text << file.rdbuf();
   try {
-    last_ = core::parse_worker_list(text.str());
-    last_.complete = true;
-    host_.update_list(last_);
-    log_.info("last list read", {{"version", last_.version}, {"workers", last_.workers.size()}});
-  } catch (const std::invalid_argument& e) {
-    log_.error("last list refused", {{"file", station_.last_list_path}, {"why", e.what()}});
+    known_list_ = core::parse_worker_list(text.str());
+    known_list_.complete = true;
+    host_.update_list(known_list_);
+    log_.info("saved worker list loaded",
+              {{"version", known_list_.version}, {"workers", known_list_.workers.size()}});
+  } catch (const std::invalid_argument& error) {
+    log_.error("saved worker list refused", {{"file", config_.last_list_path}, {"why", error.what()}});
   }
 }
 
-void RosterClient::keep_last() {
-  if (station_.last_list_path.empty()) return;
-  const std::string next = station_.last_list_path + ".next";
+void RosterClient::save_list() {
+  if (config_.last_list_path.empty()) return;
+  const std::string temporary_path = config_.last_list_path + ".next";
   {
-    std::ofstream file(next, std::ios::trunc);
-    file << core::serialize_worker_list(last_);
-    if (!file.flush()) return log_.warn("last list not kept", {{"file", next}});
+    std::ofstream file(temporary_path, std::ios::trunc);
+    file << core::serialize_worker_list(known_list_);
+    if (!file.flush()) return log_.warn("worker list not saved", {{"file", temporary_path}});
   }
-  if (std::rename(next.c_str(), station_.last_list_path.c_str()) != 0)
-    log_.warn("last list not kept", {{"file", station_.last_list_path}});
+  if (std::rename(temporary_path.c_str(), config_.last_list_path.c_str()) != 0)
+    log_.warn("worker list not saved", {{"file", config_.last_list_path}});
 }
 
-void RosterClient::took(const std::string& line) {
+void RosterClient::handle_line(const std::string& line) {
   if (line.empty()) return;
   try {
     const core::WorkerList list = core::parse_worker_list(line);
-    if (list.complete) last_.workers.clear();
-    for (const core::ListedWorker& w : list.workers) {
-      std::erase_if(last_.workers, [&](const auto& known) { return known.name == w.name; });
-      if (w.status != WorkerStatus::gone) last_.workers.push_back(w);
+    if (list.complete) known_list_.workers.clear();
+    for (const core::ListedWorker& listed : list.workers) {
+      std::erase_if(known_list_.workers, [&](const auto& known) { return known.name == listed.name; });
+      if (listed.status != WorkerStatus::gone) known_list_.workers.push_back(listed);
     }
-    last_.version = list.version, last_.complete = true;
+    known_list_.version = list.version;
+    known_list_.complete = true;
     host_.update_list(list);
-    keep_last();
+    save_list();
     log_.info("list",
               {{"version", list.version}, {"complete", list.complete}, {"entries", list.workers.size()}});
-  } catch (const std::invalid_argument& e) {
-    log_.error("list refused", {{"why", e.what()}});
+  } catch (const std::invalid_argument& error) {
+    log_.error("list refused", {{"why", error.what()}});
   }
 }
 
-io::Task<> RosterClient::watch() {
-  io::Nanos pause = kFirstPause;
+io::Task<> RosterClient::run() {
+  io::Nanos delay = kMinReconnectDelay;
   for (;;) {
     {
       http::ConnectionLease lease(pool_);
       if (co_await lease.acquire()) {
-        const io::Nanos began = loop_.now();
+        const io::Nanos connected_at = loop_.now();
         co_await follow(*lease);
-        if (loop_.now() - began > kLongestPause) pause = kFirstPause;
+        if (loop_.now() - connected_at > kMaxReconnectDelay) delay = kMinReconnectDelay;
       }
     }
     host_.list_failed();
-    log_.warn("roster lost", {{"roster", station_.discovery_address}, {"next_try_ms", pause / io::kMs}});
-    co_await loop_.sleep_for(pause);
-    pause = std::min(kLongestPause, pause * 2);
+    log_.warn("roster lost", {{"roster", config_.discovery_address}, {"next_try_ms", delay / io::kMs}});
+    co_await loop_.sleep_for(delay);
+    delay = std::min(kMaxReconnectDelay, delay * 2);
   }
 }
 
 io::Task<> RosterClient::follow(http::Connection& connection) {
   const std::string text =
-      http::format_request("GET", "/v1/workers?watch=" + station_.name, station_.discovery_address, "", "");
-  const io::IoResult moved = co_await connection.socket.write_all(text);
-  if (!moved.ok()) co_return;
+      http::format_request("GET", "/v1/workers?watch=" + config_.name, config_.discovery_address, "", "");
+  const io::IoResult written = co_await connection.socket.write_all(text);
+  if (!written.ok()) co_return;
   http::Head head;
-  const http::MessageError fault = co_await connection.reader->read_head(head);
-  if (fault != http::MessageError::none || head.status != 200) co_return;
+  const http::MessageError error = co_await connection.reader->read_head(head);
+  if (error != http::MessageError::none || head.status != 200) co_return;
   std::string bytes;
   while (connection.reader->has_more()) {
-    const http::MessageError f = co_await connection.reader->read_some_body(bytes);
+    const http::MessageError body_error = co_await connection.reader->read_some_body(bytes);
     std::size_t from = 0;
     for (std::size_t end; (end = bytes.find('\n', from)) != std::string::npos; from = end + 1)
-      took(bytes.substr(from, end - from));
+      handle_line(bytes.substr(from, end - from));
     bytes.erase(0, from);
-    if (f != http::MessageError::none) co_return;
+    if (body_error != http::MessageError::none) co_return;
   }
 }
 
--- a/router/roster_client.h
+++ b/router/roster_client.h
@@ -1,4 +1,5 @@
-// Watches the roster: the list that was kept first, then what the roster pushes, for as long as it can be reached.
+// Follows the worker list of the discovery service (setting 'roster'). Starts with the list saved by an
+// earlier process, then applies what the service pushes, and reconnects whenever the connection is lost.
 #pragma once
 
 #include "host.h"
@@ -7,19 +8,19 @@
 
 class RosterClient {
  public:
-  RosterClient(io::Loop& loop, const core::RouterConfig& station, core::Log& log, Host& host);
+  RosterClient(io::Loop& loop, const core::RouterConfig& config, core::Log& log, Host& host);
 
  private:
-  io::Task<> watch();
+  io::Task<> run();
   io::Task<> follow(http::Connection& connection);
-  void took(const std::string& line);
-  void read_last();
-  void keep_last();
+  void handle_line(const std::string& line);
+  void load_saved_list();
+  void save_list();
   io::Loop& loop_;
-  const core::RouterConfig& station_;
+  const core::RouterConfig& config_;
   core::Log& log_;
   Host& host_;
-  core::WorkerList last_;
+  core::WorkerList known_list_;
   std::shared_ptr<http::Pool> pool_;
   io::Scope scope_;
 };
