--- a/tests/attempt_begin_test.cpp
+++ b/tests/attempt_begin_test.cpp
@@ -1,5 +1,6 @@
-// What may have happened between the decision for an attempt and the moment at which its first byte would leave: the
-// connection came up late, and a drain was told, the client left, or the time to begin was over.
+// Events between the decision for an attempt and the write of its first byte: the connection is established
+// late, and in the meantime the worker starts to drain, the client leaves, or the time in which the attempt
+// may begin ends.
 #include "platform_fixture.h"
 #include "raw_server.h"
 
@@ -7,123 +8,126 @@
 
 namespace {
 
-// Drains count after 40 ms of the 250 that a connection may take; repeats begin within 150 ms, as 120 of the window are
-// left to a process that is held up.
+// A drain takes effect after 40 ms, well within the 250 ms that connecting may take. Repeats have to begin
+// within 150 ms, as 120 ms of the window are reserved for a delayed process.
 json settings_of(const std::string& effect) {
-  json out = test_settings();
-  out["obligations"]["stopSendingWithinMs"] = 80.0;
-  out["services"][0]["effect"] = effect;
-  out["services"][0]["windowMs"] = 270.0;
-  return out;
+  json settings = test_settings();
+  settings["obligations"]["stopSendingWithinMs"] = 80.0;
+  settings["services"][0]["effect"] = effect;
+  settings["services"][0]["windowMs"] = 270.0;
+  return settings;
 }
 
-// A site with one reader, and one writer that the test plays by hand.
-struct ManualWriter {
-  explicit ManualWriter(const std::string& effect = "retryable") : site(1, 0, settings_of(effect)) {
-    list("up");
+// A fixture with one prefill worker, and one decode worker that the test controls by hand.
+struct ManualDecodeWorker {
+  explicit ManualDecodeWorker(const std::string& effect = "retryable") : fixture(1, 0, settings_of(effect)) {
+    update_status("up");
   }
-  void list(const std::string& state) {
-    site.discovery.update(PlatformFixture::target("late", server.address().to_string(), false, state));
-    site.run_for(5);
+  void update_status(const std::string& status) {
+    fixture.discovery.update(PlatformFixture::target("late", server.address().to_string(), false, status));
+    fixture.run_for(5);
   }
-  // The connection that hangs comes up now; what has come on it.
-  std::string let_in() {
+  // Lets the pending connection complete; returns what was received on it.
+  std::string establish_connection() {
     server.drain_accept_queue();
-    std::unique_ptr<RawConnection> taken;
-    run_with_stopped_clock(site.loop, [&] { return taken || (taken = server.accept()); });
-    REQUIRE(taken);
-    run_with_stopped_clock(site.loop, [&] {
-      taken->read();
-      return taken->ended() || taken->reset() || !taken->text().empty();
+    std::unique_ptr<RawConnection> connection;
+    run_with_stopped_clock(fixture.loop, [&] { return connection || (connection = server.accept()); });
+    REQUIRE(connection);
+    run_with_stopped_clock(fixture.loop, [&] {
+      connection->read();
+      return connection->ended() || connection->reset() || !connection->text().empty();
     });
-    return taken->text();
+    return connection->text();
   }
-  // The same once the attempt has ended, so that its connection may not come up at all.
-  std::string came_after_the_attempt() {
+  // The same once the attempt has ended, so that its connection may never be established.
+  std::string received_after_attempt() {
     server.drain_accept_queue();
-    site.run_for(300);
-    const auto taken = server.accept();
-    if (!taken) return "";
-    taken->read();
-    return taken->text();
+    fixture.run_for(300);
+    const auto connection = server.accept();
+    if (!connection) return "";
+    connection->read();
+    return connection->text();
   }
-  // Of a request whose read has ended: the attempt that has come here.
+  // The connection of the first decode attempt of a request whose prefill has ended.
   std::unique_ptr<RawConnection> first_attempt() {
-    std::unique_ptr<RawConnection> taken;
-    for (int i = 0; i < 200 && !taken; ++i) {
-      site.run_for(1);
-      taken = server.accept();
+    std::unique_ptr<RawConnection> connection;
+    for (int i = 0; i < 200 && !connection; ++i) {
+      fixture.run_for(1);
+      connection = server.accept();
     }
-    REQUIRE(taken);
-    site.run_for(1);
-    taken->read();
-    REQUIRE(taken->text().starts_with("POST"));
-    return taken;
+    REQUIRE(connection);
+    fixture.run_for(1);
+    connection->read();
+    REQUIRE(connection->text().starts_with("POST"));
+    return connection;
   }
   HangingServer server;
-  PlatformFixture site;
+  PlatformFixture fixture;
 };
 
-// Until the read has ended and the write's connection hangs.
-void wait_for_connect(PlatformFixture& site) {
-  for (int i = 0; i < 200 && site.kv_entries.empty(); ++i) site.run_for(1);
-  REQUIRE(!site.kv_entries.empty());
-  site.run_for(5);
+// Waits until the prefill has ended and the connection of the decode attempt is pending.
+void wait_for_connect(PlatformFixture& fixture) {
+  for (int i = 0; i < 200 && fixture.kv_entries.empty(); ++i) fixture.run_for(1);
+  REQUIRE(!fixture.kv_entries.empty());
+  fixture.run_for(5);
 }
 
 }  // namespace
 
-TEST_CASE("a connection that comes up late carries its request all the same") {
-  ManualWriter late;
-  late.server.fill_accept_queue();
-  late.site.send("a", PlatformFixture::request("a1"));
-  wait_for_connect(late.site);
-  CHECK(late.let_in().starts_with("POST /v1/chat/completions"));
+TEST_CASE("a connection that is established late still carries its request") {
+  ManualDecodeWorker worker;
+  worker.server.fill_accept_queue();
+  worker.fixture.send("a", PlatformFixture::request("a1"));
+  wait_for_connect(worker.fixture);
+  CHECK(worker.establish_connection().starts_with("POST /v1/chat/completions"));
 }
 
-// Guards rule 3.
-TEST_CASE("a drain is told while the connection comes up: nothing is sent there after its grace") {
-  ManualWriter late;
-  late.server.fill_accept_queue();
-  late.site.send("a", PlatformFixture::request("a1"));
-  wait_for_connect(late.site);
-  late.list("draining");
-  late.site.run_for(60);
-  CHECK(late.let_in().empty());
+// Guards rule 3: no requests to a draining worker after its grace period.
+TEST_CASE(
+    "a worker starts to drain while the connection is pending: nothing is sent to it after its grace "
+    "period") {
+  ManualDecodeWorker worker;
+  worker.server.fill_accept_queue();
+  worker.fixture.send("a", PlatformFixture::request("a1"));
+  wait_for_connect(worker.fixture);
+  worker.update_status("draining");
+  worker.fixture.run_for(60);
+  CHECK(worker.establish_connection().empty());
 }
 
-TEST_CASE("the client leaves while the connection comes up: nothing is sent") {
-  ManualWriter late;
-  late.server.fill_accept_queue();
-  RawClient client(late.site.node->address());
+TEST_CASE("the client leaves while the connection is pending: nothing is sent") {
+  ManualDecodeWorker worker;
+  worker.server.fill_accept_queue();
+  RawClient client(worker.fixture.node->address());
   client.write(PlatformFixture::request("a1"));
-  wait_for_connect(late.site);
+  wait_for_connect(worker.fixture);
   client.close();
-  late.site.run_for(5);
-  CHECK(late.site.node->host().live_requests() == 0);
-  CHECK(late.came_after_the_attempt().empty());
+  worker.fixture.run_for(5);
+  CHECK(worker.fixture.node->host().live_requests() == 0);
+  CHECK(worker.received_after_attempt().empty());
 }
 
-// Guards rule 2: a repeat that is not recognised has its effect twice.
+// Guards rule 2: a repeat that the worker no longer recognises would take effect twice.
 TEST_CASE(
-    "a repeat whose connection comes up after its window is not sent, and the client is answered at once") {
-  ManualWriter late("dedup");
-  PlatformFixture& s = late.site;
+    "a repeat whose connection is established after its window is not sent, and the client gets a response "
+    "at once") {
+  ManualDecodeWorker worker("dedup");
+  PlatformFixture& s = worker.fixture;
   s.send("a", PlatformFixture::request("a1"));
-  const auto first = late.first_attempt();
-  late.server.fill_accept_queue();
+  const auto first = worker.first_attempt();
+  worker.server.fill_accept_queue();
   s.run_for(100);
   first->close(true);
   s.run_for(40);  // the second attempt connects
   CHECK(!s.last_responses.contains("a"));
   s.run_for(20);
-  CHECK(late.came_after_the_attempt().empty());
+  CHECK(worker.received_after_attempt().empty());
   CHECK(s.response("a").status != 0);
-  CHECK(s.response("a").elapsed < 300 * kMs);  // the connection may hang for longer
+  CHECK(s.response("a").elapsed < 300 * kMs);  // the pending connection may take longer
 }
 
-// Guards against what a worker sends unasked being taken for the beginning of its next answer.
-TEST_CASE("a kept connection on which half a line has come is not used again") {
+// Guards against unsolicited bytes of a worker being parsed as the start of its next response.
+TEST_CASE("an idle connection on which part of a line was received is not reused") {
   PlatformFixture s(1, 1);
   s.worker("reader-0").script = {{"HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":77}",
                                   ScriptedResponse::Finish::keep_alive, 0, false, true, "HTTP/1.1 2",
@@ -137,13 +141,14 @@
   CHECK(s.count_requests("POST") == 4);
 }
 
-// Guards against a deadline that is passed on longer than the client has left: its time runs while a request waits behind
-// another on its connection, read or not.
-TEST_CASE("a request that waited behind another on its connection has the time that is left since it came") {
+// Guards against passing on a longer time limit than the client has left: the time also runs while a request
+// waits behind another one on the client's connection, whether or not it has been read.
+TEST_CASE(
+    "the time limit of a request that waited behind another on its connection counts from its arrival") {
   for (const bool read_at_once : {true, false}) {
     CAPTURE(read_at_once);
     json settings = test_settings();
-    settings["caps"]["attemptsCap"] = 2;  // each attempt has all of the time
+    settings["caps"]["attemptsCap"] = 2;  // each attempt gets all of the time
     PlatformFixture s(1, 1, settings);
     s.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 1000 * kMs, true}};
     RawClient client(s.node->address());
@@ -153,37 +158,37 @@
     s.run_for(100);
     if (!read_at_once) client.write(PlatformFixture::request("a2", PlatformFixture::request_body(), "3000"));
     s.run_for(1800);
-    const auto& heads = s.worker("reader-0").request_fields;
-    const auto second = std::ranges::find_if(
-        heads, [](const std::string& h) { return h.find("x-call-id: a2\n") != std::string::npos; });
-    REQUIRE(second != heads.end());
+    const auto& request_fields = s.worker("reader-0").request_fields;
+    const auto second = std::ranges::find_if(request_fields, [](const std::string& text) {
+      return text.find("x-call-id: a2\n") != std::string::npos;
+    });
+    REQUIRE(second != request_fields.end());
     const std::string& fields = *second;
     const std::size_t at = fields.find("x-budget-ms: ");
     REQUIRE(at != std::string::npos);
-    const int told = std::stoi(fields.substr(at + 13));
-    CHECK(told <= 3000 - 900);
-    CHECK(told >= 3000 - 1300);
+    const int sent_limit = std::stoi(fields.substr(at + 13));
+    CHECK(sent_limit <= 3000 - 900);
+    CHECK(sent_limit >= 3000 - 1300);
   }
 }
 
-// A worker may be told of 150 ms more than the client has left, and a router may be held up for as long between its clock and
-// its write: what it tells must not be more than is left as it reads the clock, and has to leave it time to answer.
-TEST_CASE(
-    "the time that an attempt tells its worker is no more than is left, with the router's own part taken "
-    "off") {
+// A worker may be sent up to 150 ms more than the client has left, and the router may be delayed by as much
+// between reading its clock and the write. So the time limit must not exceed what is left when the clock is
+// read, and it has to leave the router time to respond.
+TEST_CASE("the time limit sent to a worker is at most the time left, less the router's own share") {
   json settings = test_settings();
   settings["caps"]["attemptsCap"] = 2;
   PlatformFixture s(1, 1, settings);
   s.send("a", PlatformFixture::request("a1", PlatformFixture::request_body(), "1000"));
   REQUIRE(s.response("a").complete);
-  const auto told = [&](const std::string& name) {
+  const auto sent_limit = [&](const std::string& name) {
     const std::string& fields = s.worker(name).request_fields.at(0);
     return std::stoi(fields.substr(fields.find("x-budget-ms: ") + 13));
   };
-  CHECK(told("reader-0") <= 1000 - 10);
-  CHECK(told("reader-0") >= 1000 - 30);
-  CHECK(told("writer-0") <= 980 - 10);
-  CHECK(told("writer-0") >= 980 - 60);
+  CHECK(sent_limit("reader-0") <= 1000 - 10);
+  CHECK(sent_limit("reader-0") >= 1000 - 30);
+  CHECK(sent_limit("writer-0") <= 980 - 10);
+  CHECK(sent_limit("writer-0") >= 980 - 60);
 }
 
 }  // namespace cressrill::testing
--- a/tests/failure_test.cpp
+++ b/tests/failure_test.cpp
@@ -1,4 +1,4 @@
-// The table of errors: what each says about who is at fault, one line a row.
+// The classification of system call errors, one row per call and errno.
 #include "io/failure.h"
 
 #include <doctest/doctest.h>
@@ -12,18 +12,18 @@
 using io::SystemCall;
 
 namespace {
-std::string word(io::ErrorClass failure) {
-  static constexpr const char* words[] = {"interrupted", "would block", "local lack", "aborted",
+std::string to_string(io::ErrorClass error_class) {
+  static constexpr const char* names[] = {"interrupted", "would block", "local lack", "aborted",
                                           "disconnected"};
-  return words[static_cast<int>(failure)];
+  return names[static_cast<int>(error_class)];
 }
 }  // namespace
 
-TEST_CASE("each errno of each call says whether to try again, to wait, and whose fault it is") {
+TEST_CASE("each errno of each system call maps to its error class") {
   struct Row {
     SystemCall call;
     int error;
-    const char* means;
+    const char* expected;
   };
   const Row rows[] = {{SystemCall::accept4, EAGAIN, "would block"},
                       {SystemCall::accept4, EINTR, "interrupted"},
@@ -71,7 +71,7 @@
   for (const Row& row : rows) {
     CAPTURE(io::kSystemCallNames[static_cast<std::size_t>(row.call)]);
     CAPTURE(std::string(std::strerror(row.error)));
-    CHECK(word(io::classify_error(row.call, row.error)) == row.means);
+    CHECK(to_string(io::classify_error(row.call, row.error)) == row.expected);
   }
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Where a worker's start, told in wall-clock time, is placed on the monotonic clock: the wall clock of this machine, or of
-// the one that tells, may have been stepped.
+// The conversion of a worker's start from the wall-clock time that discovery reports to the monotonic clock.
+// The wall clock of this machine or of discovery's may have been stepped.
 #include "router/fleet.h"
 
 #include <doctest/doctest.h>
@@ -12,13 +12,13 @@
 using io::kSecond;
 constexpr io::Nanos kHour = 3600 * kSecond;
 
-// Keeps what the decisions are told of starts.
-class StartsTold final : public Policy {
+// Records the start times that the policy is given.
+class StartRecorder final : public Policy {
  public:
   void list_begins(Nanos, bool) override {}
-  void worker_listed(int worker, std::uint64_t, WorkerStatus, Nanos started, int, int, int) override {
+  void worker_listed(int worker, std::uint64_t, WorkerStatus, Nanos started_at, int, int, int) override {
     starts.resize(std::max(starts.size(), static_cast<std::size_t>(worker) + 1));
-    starts[static_cast<std::size_t>(worker)] = started;
+    starts[static_cast<std::size_t>(worker)] = started_at;
   }
   void list_ends() override {}
   void list_failed(Nanos) override {}
@@ -31,93 +31,96 @@
   std::vector<Nanos> starts;
 };
 
-struct Told {
-  Told() {
-    station.kind_names = {"decode"};
-    station.zones = {"east"};
-    station.settings.kinds = {{Role::decode, 0}};
-    fleet = std::make_unique<router::Fleet>(loop, station, log);
+struct FleetFixture {
+  FleetFixture() {
+    config.kind_names = {"decode"};
+    config.zones = {"east"};
+    config.settings.kinds = {{Role::decode, 0}};
+    fleet = std::make_unique<router::Fleet>(loop, config, log);
   }
-  // The wall clock, as it stands without a step.
-  io::Nanos wall() const { return loop.wall_clock_offset() + loop.now(); }
-  void list(io::Nanos started, bool complete = false) {
-    core::WorkerList told{++version, complete, {}};
-    told.source = 1;
-    told.workers.push_back({"w", "127.0.0.1:1", WorkerStatus::ready, started, "decode", "east", "3"});
-    fleet->apply_list(told, policy);
+  // The wall clock without any step.
+  io::Nanos wall_time() const { return loop.wall_clock_offset() + loop.now(); }
+  void apply_list(io::Nanos started_at, bool complete = false) {
+    core::WorkerList worker_list{++version, complete, {}};
+    worker_list.source = 1;
+    worker_list.workers.push_back(
+        {"w", "127.0.0.1:1", WorkerStatus::ready, started_at, "decode", "east", "3"});
+    fleet->apply_list(worker_list, policy);
   }
-  void pass(io::Nanos span) { loop.advance_to(loop.now() + span); }
-  Nanos start() const { return policy.starts[0]; }
+  void advance(io::Nanos span) { loop.advance_to(loop.now() + span); }
+  Nanos started_at() const { return policy.starts[0]; }
 
   io::Loop loop{io::Loop::Clock::simulated};
-  core::RouterConfig station;
+  core::RouterConfig config;
   core::Log log{"n0", "off"};
   std::unique_ptr<router::Fleet> fleet;
-  StartsTold policy;
+  StartRecorder policy;
   std::uint64_t version{};
 };
 
 }  // namespace
 
-TEST_CASE("a start that the wall clock places after the present is no later than its telling") {
+TEST_CASE("a start that the wall clock puts in the future is no later than its report") {
   for (const io::Nanos step : {3 * kSecond, kHour}) {
     CAPTURE(step);
-    Told t;
-    t.list(0, true);
-    t.pass(20 * kSecond);
-    t.list(t.wall() - 100 * kMs + step);
-    CHECK(t.start() <= t.loop.now());
-    CHECK(t.start() >= t.loop.now() - 100 * kMs);
-    const Nanos placed = t.start();
-    t.pass(5 * kSecond);
-    t.list(t.wall() - 5'100 * kMs + step);  // the same start again
-    CHECK(t.start() == placed);
+    FleetFixture fixture;
+    fixture.apply_list(0, true);
+    fixture.advance(20 * kSecond);
+    fixture.apply_list(fixture.wall_time() - 100 * kMs + step);
+    CHECK(fixture.started_at() <= fixture.loop.now());
+    CHECK(fixture.started_at() >= fixture.loop.now() - 100 * kMs);
+    const Nanos converted = fixture.started_at();
+    fixture.advance(5 * kSecond);
+    fixture.apply_list(fixture.wall_time() - 5'100 * kMs + step);  // reports the same start again
+    CHECK(fixture.started_at() == converted);
   }
 }
 
-TEST_CASE("a restart that the wall clock places before the list in force is a restart all the same") {
-  Told t;
-  t.list(t.wall() - kHour / 2, true);
-  const Nanos before = t.start();
-  t.pass(20 * kSecond);
-  t.list(t.wall() - 100 * kMs - kHour);
-  CHECK(t.start() > before);
-  CHECK(t.start() <= t.loop.now());
-  CHECK(t.start() >= t.loop.now() - 100 * kMs);
+TEST_CASE("a restart that the wall clock puts before the current list still counts as a restart") {
+  FleetFixture fixture;
+  fixture.apply_list(fixture.wall_time() - kHour / 2, true);
+  const Nanos before = fixture.started_at();
+  fixture.advance(20 * kSecond);
+  fixture.apply_list(fixture.wall_time() - 100 * kMs - kHour);
+  CHECK(fixture.started_at() > before);
+  CHECK(fixture.started_at() <= fixture.loop.now());
+  CHECK(fixture.started_at() >= fixture.loop.now() - 100 * kMs);
 }
 
 TEST_CASE(
-    "after a long quiet time a start that the wall clock places within it is no earlier than the last "
-    "answer") {
-  Told t;
-  t.list(0, true);
+    "a start that the wall clock puts within a long period without changes is no earlier than the last "
+    "confirmation") {
+  FleetFixture fixture;
+  fixture.apply_list(0, true);
   for (int i = 0; i < 720; ++i) {
-    t.pass(10 * kSecond);
-    t.fleet->confirm_current();
+    fixture.advance(10 * kSecond);
+    fixture.fleet->confirm_current();
   }
-  t.list(t.wall() - 100 * kMs - kHour);
-  CHECK(t.start() == t.loop.now());
+  fixture.apply_list(fixture.wall_time() - 100 * kMs - kHour);
+  CHECK(fixture.started_at() == fixture.loop.now());
 }
 
-TEST_CASE("a list of an agent that lags behind the one before it names an old start: that is no restart") {
-  Told t;
-  t.list(t.wall() - 2 * kSecond, true);
-  t.pass(20 * kSecond);
-  t.list(t.wall() - 1 * kSecond);
-  const Nanos start = t.start();
-  core::WorkerList old{
-      1, true, {{"w", "127.0.0.1:1", WorkerStatus::ready, t.wall() - 22 * kSecond, "decode", "east", "3"}}};
-  old.source = 2;
-  t.fleet->apply_list(old, t.policy);
-  CHECK(t.start() == start);
+TEST_CASE("an old start in the list of a lagging discovery agent is not a restart") {
+  FleetFixture fixture;
+  fixture.apply_list(fixture.wall_time() - 2 * kSecond, true);
+  fixture.advance(20 * kSecond);
+  fixture.apply_list(fixture.wall_time() - 1 * kSecond);
+  const Nanos start = fixture.started_at();
+  core::WorkerList stale{
+      1,
+      true,
+      {{"w", "127.0.0.1:1", WorkerStatus::ready, fixture.wall_time() - 22 * kSecond, "decode", "east", "3"}}};
+  stale.source = 2;
+  fixture.fleet->apply_list(stale, fixture.policy);
+  CHECK(fixture.started_at() == start);
 }
 
-TEST_CASE("a start that the wall clock places well is where it says, also told late") {
-  Told t;
-  t.list(0, true);
-  t.pass(20 * kSecond);
-  t.list(t.wall() - 4 * kSecond);
-  CHECK(t.start() == t.loop.now() - 4 * kSecond);
+TEST_CASE("a plausible start is taken from the wall clock, even if reported late") {
+  FleetFixture fixture;
+  fixture.apply_list(0, true);
+  fixture.advance(20 * kSecond);
+  fixture.apply_list(fixture.wall_time() - 4 * kSecond);
+  CHECK(fixture.started_at() == fixture.loop.now() - 4 * kSecond);
 }
 
 }  // namespace cressrill::testing
