--- a/core/classify.h
+++ b/core/classify.h
@@ -1,4 +1,4 @@
-// What a request is to the deployment: whose, of which traffic type, how long it may take. Free of I/O.
+// Determines the tenant, the traffic type, the token counts and the time limit of a request. Does no I/O.
 #pragma once
 
 #include <variant>
@@ -11,17 +11,18 @@
 
 struct ClassifiedRequest {
   int type{};
-  int tenant{};                // past the last one: none is declared, all traffic is in its share
-  double prompt_tokens{};      // tokens
-  double prefix_tokens{};      // tokens
-  double max_output_tokens{};  // tokens
-  Nanos time_limit{};
+  int tenant{};  // index of RouterConfig::tenants; 0 if no tenants are configured
+  double prompt_tokens{};
+  double prefix_tokens{};  // of the prefix that the prompt shares with others
+  double max_output_tokens{};
+  Nanos time_limit{};  // from the arrival of the request on
 };
 
-// path without its query; fields of the request. Header 'x-abandon-after-ms' shortens the abandon time.
-std::variant<ClassifiedRequest, RequestError> classify(const RouterConfig& station,
-                                                       const TokenEstimator& estimate,
-                                                       const ParsedRequest& facts, std::string_view path,
+// Returns the error to answer with if the API key is unknown, no traffic type matches or 'x-abandon-after-ms' is invalid.
+// path: without the query. The header 'x-abandon-after-ms' can shorten the time limit of the traffic type, not extend it.
+std::variant<ClassifiedRequest, RequestError> classify(const RouterConfig& config,
+                                                       const TokenEstimator& estimator,
+                                                       const ParsedRequest& request, std::string_view path,
                                                        HeaderFields fields);
 
 }  // namespace cressrill::core
--- a/core/invariants.h
+++ b/core/invariants.h
@@ -1,7 +1,7 @@
-// The product's rules as checks at run time. Guards decide before something is done (AttemptGuard in router/); an invariant
-// is checked where it was done, against the rule's own limit, and a violation is counted and logged with the facts. None is
-// expected ever: one that counts is a defect, or a process that was held up for longer than the rules allow for. Free of
-// sockets and clocks.
+// Run-time checks of the rules that the router has to keep. Guards (AttemptGuard in router/) decide before an action; an
+// invariant is checked after it, against the limit that the rule states, and a violation is counted and logged. No violation
+// is expected in operation: one means a defect, or a process that was stopped for longer than the rules allow for. Uses no
+// sockets and no clock.
 #pragma once
 
 #include <array>
@@ -15,16 +15,16 @@
 namespace cressrill::core {
 
 enum class Invariant : std::size_t {
-  one_final_answer,        // each request taken gets exactly one, unless its client has left
-  answer_in_time,          // and gets it half a second after its deadline at the latest
-  read_is_answered,        // no connection is closed behind a request that was read and not answered
-  client_is_there,         // no attempt begins more than 0.1 s after its client has left
-  worker_takes_requests,   // none begins at a worker past the grace of its drain
-  repeat_in_window,        // a repeat of what may have run begins while it is recognised
-  deadline_within_budget,  // a worker is told no more time than the client has left, with 0.15 s of slack
-  kv_released_in_time,  // KV cache that a worker said it holds is taken or confirmed as released within the limit
-  kv_transition,        // what is held changes only in ways that the table of KvHold knows
-  kv_has_owner,         // no request is forgotten while KV cache may be held for it that nobody will release
+  one_final_answer,  // each accepted request gets exactly one final response, unless its client has disconnected
+  answer_in_time,         // the final response is sent no later than 0.5 s after the deadline of the request
+  read_is_answered,       // no connection is closed while a request that was read from it is unanswered
+  client_is_there,        // no attempt starts more than 0.1 s after its client has disconnected
+  worker_takes_requests,  // no attempt starts at a worker after the grace period of its drain
+  repeat_in_window,  // an attempt that repeats one that may have run starts within the window in which workers recognize it
+  deadline_within_budget,  // the time budget sent to a worker exceeds the time left to the client by 0.15 s at most
+  kv_released_in_time,  // KV cache that a worker reported is consumed or confirmed as released within the limit
+  kv_transition,        // KvHold takes only transitions that its table lists
+  kv_has_owner,  // no request is forgotten while KV cache may be held for it and no release of it is pending
 };
 constexpr std::size_t kInvariantCount = 10;
 constexpr std::array<const char*, kInvariantCount> kInvariantNames{
@@ -32,13 +32,14 @@
     "worker_takes_requests", "repeat_in_window", "deadline_within_budget", "kv_released_in_time",
     "kv_transition",         "kv_has_owner"};
 
+// Counts violations. The log and the counters must outlive this object.
 class Invariants {
  public:
   Invariants(Log& log, Counters& counters) : log_(log), counters_(counters) {}
 
-  // request: its id. by_ms: how far the limit was passed, where it is one of time.
-  void check(Invariant invariant, bool holds, std::string_view request, std::int64_t by_ms = 0) {
-    if (holds) return;
+  // Counts and logs a violation unless satisfied. request: its id. by_ms: by how much a time limit was exceeded.
+  void check(Invariant invariant, bool satisfied, std::string_view request, std::int64_t by_ms = 0) {
+    if (satisfied) return;
     const auto index = static_cast<std::size_t>(invariant);
     ++violations_[index];
     counters_.count_invariant_violation(kInvariantNames[index]);
@@ -47,7 +48,7 @@
   }
   std::uint64_t violations() const {
     std::uint64_t sum = 0;
-    for (const std::uint64_t n : violations_) sum += n;
+    for (const std::uint64_t count : violations_) sum += count;
     return sum;
   }
   std::uint64_t violations(Invariant invariant) const {
--- a/core/log.h
+++ b/core/log.h
@@ -1,5 +1,5 @@
-// Structured logs: one JSON object a line, to standard error. Free of sockets. A line below the level costs a
-// comparison, and one above it no tree.
+// Structured logging to standard error, one JSON object per line. A line below the log level costs one comparison; other
+// lines are formatted directly, without building a JSON document.
 #pragma once
 
 #include <fmt/format.h>
@@ -20,13 +20,14 @@
 
 class Log {
  public:
-  // level: trace, debug, info, warn, error, off. who: the instance, in every line.
-  Log(const std::string& who, const std::string& level)
-      : who_(as_json(who)),
-        to_("cressrill", std::make_shared<LogSink>(std::string(who_.data(), who_.size()), STDERR_FILENO)) {
-    to_.set_pattern("%v");
-    to_.set_level(spdlog::level::from_str(level));
-    to_.flush_on(spdlog::level::info);
+  // instance: the name of this process, written in every line. level: trace, debug, info, warn, error or off.
+  Log(const std::string& instance, const std::string& level)
+      : instance_(as_json(instance)),
+        logger_("cressrill",
+                std::make_shared<LogSink>(std::string(instance_.data(), instance_.size()), STDERR_FILENO)) {
+    logger_.set_pattern("%v");
+    logger_.set_level(spdlog::level::from_str(level));
+    logger_.flush_on(spdlog::level::info);
   }
 
   struct Value {
@@ -43,50 +44,51 @@
   };
   using Fields = std::initializer_list<Field>;
 
-  void debug(const char* event, Fields fields = {}) { line(spdlog::level::debug, event, fields); }
-  void info(const char* event, Fields fields = {}) { line(spdlog::level::info, event, fields); }
-  void warn(const char* event, Fields fields = {}) { line(spdlog::level::warn, event, fields); }
-  void error(const char* event, Fields fields = {}) { line(spdlog::level::err, event, fields); }
+  void debug(const char* event, Fields fields = {}) { write_line(spdlog::level::debug, event, fields); }
+  void info(const char* event, Fields fields = {}) { write_line(spdlog::level::info, event, fields); }
+  void warn(const char* event, Fields fields = {}) { write_line(spdlog::level::warn, event, fields); }
+  void error(const char* event, Fields fields = {}) { write_line(spdlog::level::err, event, fields); }
 
  private:
   using Buffer = fmt::memory_buffer;
-  static void text(Buffer& to, std::string_view value) {
-    const auto plain = [](char c) { return c >= ' ' && c < 127 && c != '"' && c != '\\'; };
-    if (std::ranges::all_of(value, plain)) {
-      fmt::format_to(std::back_inserter(to), "\"{}\"", value);
+  static void append_json_string(Buffer& out, std::string_view value) {
+    const auto needs_no_escape = [](char c) { return c >= ' ' && c < 127 && c != '"' && c != '\\'; };
+    if (std::ranges::all_of(value, needs_no_escape)) {
+      fmt::format_to(std::back_inserter(out), "\"{}\"", value);
     } else {
       const std::string escaped =
           nlohmann::json(value).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-      to.append(escaped.data(), escaped.data() + escaped.size());
+      out.append(escaped.data(), escaped.data() + escaped.size());
     }
   }
   static Buffer as_json(std::string_view value) {
     Buffer out;
-    text(out, value);
+    append_json_string(out, value);
     return out;
   }
-  void line(spdlog::level::level_enum level, const char* event, Fields fields) {
-    if (!to_.should_log(level)) return;
+  void write_line(spdlog::level::level_enum level, const char* event, Fields fields) {
+    if (!logger_.should_log(level)) return;
     line_.clear();
-    const auto t = std::chrono::system_clock::now().time_since_epoch();
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
     fmt::format_to(std::back_inserter(line_), "{{\"at_ms\":{},\"level\":\"{}\",\"who\":{},\"event\":\"{}\"",
-                   std::chrono::duration_cast<std::chrono::milliseconds>(t).count(),
+                   std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count(),
                    std::string_view(spdlog::level::to_string_view(level).data()),
-                   std::string_view(who_.data(), who_.size()), event);
-    for (const Field& f : fields) {
-      fmt::format_to(std::back_inserter(line_), ",\"{}\":", f.key);
-      if (const auto* s = std::get_if<std::string_view>(&f.value.value)) text(line_, *s);
-      if (const auto* n = std::get_if<long long>(&f.value.value))
-        fmt::format_to(std::back_inserter(line_), "{}", *n);
-      if (const auto* d = std::get_if<double>(&f.value.value))
-        fmt::format_to(std::back_inserter(line_), "{}", *d);
+                   std::string_view(instance_.data(), instance_.size()), event);
+    for (const Field& field : fields) {
+      fmt::format_to(std::back_inserter(line_), ",\"{}\":", field.key);
+      if (const auto* text = std::get_if<std::string_view>(&field.value.value))
+        append_json_string(line_, *text);
+      if (const auto* integer = std::get_if<long long>(&field.value.value))
+        fmt::format_to(std::back_inserter(line_), "{}", *integer);
+      if (const auto* number = std::get_if<double>(&field.value.value))
+        fmt::format_to(std::back_inserter(line_), "{}", *number);
     }
     line_.push_back('}');
-    to_.log(level, spdlog::string_view_t(line_.data(), line_.size()));
+    logger_.log(level, spdlog::string_view_t(line_.data(), line_.size()));
   }
-  Buffer who_;   // as JSON
-  Buffer line_;  // used again for each
-  spdlog::logger to_;
+  Buffer instance_;  // as a JSON string
+  Buffer line_;      // reused for each line
+  spdlog::logger logger_;
 };
 
 }  // namespace cressrill::core
--- a/core/log_sink.h
+++ b/core/log_sink.h
@@ -1,5 +1,6 @@
-// Where log lines go: standard error, without ever waiting for whoever reads it. Lines that cannot be written (a pipe that is
-// full, a disk that is full, a reader that has gone) are lost, counted, and told of with the next line that can be.
+// Log sink that writes to a file descriptor (standard error) and never blocks on its reader. A line that cannot be written
+// (full pipe, full disk, closed reader) is dropped and counted; the next line that can be written is preceded by a line with
+// that count.
 #pragma once
 
 #include <fcntl.h>
@@ -19,55 +20,56 @@
 
 class LogSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  // who: the instance as JSON text, for the line that tells of lost ones. The descriptor stays its owner's.
-  LogSink(std::string who, int descriptor) : who_(std::move(who)), descriptor_(descriptor) {
-    struct stat facts {};
-    const bool known = ::fstat(descriptor, &facts) == 0;
-    may_block_ = !known || !S_ISREG(facts.st_mode);
+  // instance: the name of this process as a JSON string, for the line that reports dropped ones. The sink does not close the
+  // descriptor.
+  LogSink(std::string instance, int descriptor) : instance_(std::move(instance)), descriptor_(descriptor) {
+    struct stat status {};
+    const bool has_status = ::fstat(descriptor, &status) == 0;
+    may_block_ = !has_status || !S_ISREG(status.st_mode);
   }
-  std::uint64_t lost_lines() const { return lost_; }
+  std::uint64_t lost_lines() const { return lost_lines_; }
 
  protected:
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
     std::string text;
-    if (lost_ > 0)
-      text = "{\"level\":\"warning\",\"who\":" + who_ +
-             ",\"event\":\"log lines lost\",\"lines\":" + std::to_string(lost_) + "}\n";
+    if (lost_lines_ > 0)
+      text = "{\"level\":\"warning\",\"who\":" + instance_ +
+             ",\"event\":\"log lines lost\",\"lines\":" + std::to_string(lost_lines_) + "}\n";
     text.append(line.data(), line.size());
     if (write(text))
-      lost_ = 0;
+      lost_lines_ = 0;
     else
-      ++lost_;
+      ++lost_lines_;
   }
   void flush_() override {}
 
  private:
-  // Whether all of it was written.
+  // Returns whether all of the text was written.
   bool write(const std::string& text) {
-    if (may_block_ && !takes(text.size())) return false;
-    // The end of a line that was written in part stands on a line of its own.
-    const std::string whole = std::exchange(in_mid_line_, false) ? "\n" + text : text;
+    if (may_block_ && !is_writable(text.size())) return false;
+    // After a partial write, the new text starts on a line of its own.
+    const std::string output = std::exchange(partial_line_, false) ? "\n" + text : text;
     for (;;) {
-      const ssize_t n = ::write(descriptor_, whole.data(), whole.size());
-      if (n == static_cast<ssize_t>(whole.size())) return true;
-      if (n < 0 && errno == EINTR) continue;
-      in_mid_line_ = n > 0;
+      const ssize_t written = ::write(descriptor_, output.data(), output.size());
+      if (written == static_cast<ssize_t>(output.size())) return true;
+      if (written < 0 && errno == EINTR) continue;
+      partial_line_ = written > 0;
       return false;
     }
   }
-  // A pipe that is told to be writable has room for PIPE_BUF bytes.
-  bool takes(std::size_t bytes) const {
-    pollfd state{descriptor_, POLLOUT, 0};
-    return bytes < PIPE_BUF && ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
+  // A pipe that poll() reports as writable has room for PIPE_BUF bytes.
+  bool is_writable(std::size_t bytes) const {
+    pollfd poll_entry{descriptor_, POLLOUT, 0};
+    return bytes < PIPE_BUF && ::poll(&poll_entry, 1, 0) == 1 && (poll_entry.revents & POLLOUT) != 0;
   }
 
-  std::string who_;
+  std::string instance_;
   int descriptor_;
   bool may_block_{};
-  bool in_mid_line_{};
-  std::uint64_t lost_{};
+  bool partial_line_{};
+  std::uint64_t lost_lines_{};
 };
 
 }  // namespace cressrill::core
--- a/core/parsed_request.h
+++ b/core/parsed_request.h
@@ -1,5 +1,5 @@
-// How a request of OpenAI's API (POST /v1/chat/completions, /v1/completions) is read into the facts that the
-// decisions need. Anything that reads a request, router or tool, does it here.
+// Parses requests of the OpenAI API (POST /v1/chat/completions, /v1/completions) into what routing needs to know. The router
+// and all tools that read such requests share this parser.
 #pragma once
 
 #include <boost/container/small_vector.hpp>
@@ -17,9 +17,9 @@
 enum class Api { chat, completion };
 
 using HeaderFields = std::span<const std::pair<std::string_view, std::string_view>>;  // names in lower case
+// Returns the value of the first header of that name.
 std::optional<std::string_view> find_header(HeaderFields fields, std::string_view name);
 
-// A part of a text.
 struct TextRange {
   std::size_t offset{};
   std::size_t size{};
@@ -28,21 +28,20 @@
 struct ParsedRequest {
   Api api{};
   std::string model;
-  std::string body;  // as it came
-  std::vector<TextRange>
-      forwarded_members;         // its members that go to the engines as they came, "name":value,...
-  std::uint64_t session_hash{};  // 0: none
-  std::uint64_t prefix_hash{};   // 0: none
+  std::string body;                          // as received
+  std::vector<TextRange> forwarded_members;  // of the body: members that are forwarded to engines unchanged
+  std::uint64_t session_hash{};              // of the session's id; 0: none
+  std::uint64_t prefix_hash{};               // of the leading system messages; 0: none
   std::size_t prompt_bytes{};
   std::size_t prefix_bytes{};
   std::size_t message_count{};
-  std::optional<std::size_t> prompt_tokens;  // exact, where the prompt came as token ids
+  std::optional<std::size_t> prompt_tokens;  // known only if the prompt is a list of token ids
   std::optional<std::size_t> max_output_tokens;
   bool stream{};
   bool include_usage{};
 };
 
-// An answer of the 4xx kind, in the published form of an error.
+// A 4xx response in the error format of the OpenAI API.
 struct RequestError {
   int status{};
   std::string code;
@@ -51,22 +50,23 @@
   std::string body() const;
 };
 
-// {"error": {...}} as published; type follows from the status.
+// Formats {"error": {...}} as the OpenAI API does; its type follows from the status.
 std::string error_body(int status, std::string_view message, std::string_view code,
                        std::string_view param = "");
 
-// body is kept in the facts; with room for simdjson::SIMDJSON_PADDING more bytes it is not copied.
+// Takes ownership of the body; if its capacity has room for simdjson::SIMDJSON_PADDING more bytes, it is not copied.
 std::variant<ParsedRequest, RequestError> parse_request(Api api, std::string body, HeaderFields fields);
 
-// The body that an engine gets (docs/design/engine-wire.md): texts to be sent one after the other, views into the
-// facts and into tail. state: kv_transfer_params as the reader named it.
+// The body of a request to an engine (docs/design/engine-wire.md), as parts that are sent one after the other. The parts are
+// views of the parsed request and of tail, and are valid as long as both are unchanged.
 struct EngineBody {
   boost::container::small_vector<std::string_view, 12> parts;
   std::string tail;
   std::size_t bytes{};
   std::string text() const;
 };
-void build_prefill_body(const ParsedRequest& facts, EngineBody& to);
-void build_decode_body(const ParsedRequest& facts, std::string_view state, EngineBody& to);
+void build_prefill_body(const ParsedRequest& request, EngineBody& body);
+// kv_transfer_params: as returned by the prefill worker; empty: none.
+void build_decode_body(const ParsedRequest& request, std::string_view kv_transfer_params, EngineBody& body);
 
 }  // namespace cressrill::core
--- a/core/router_config.h
+++ b/core/router_config.h
@@ -1,5 +1,5 @@
-// What one router is told when it starts, from its TOML file: its place, its peers, its bounds, how requests are
-// told apart, and the deployment for the decisions. Each key stands in docs/operators/router.md.
+// The configuration that a router reads from its TOML file: its addresses and limits, how requests are classified, and the
+// settings of the policy. docs/operators/router.md describes each key.
 #pragma once
 
 #include <string>
@@ -11,55 +11,55 @@
 
 namespace cressrill::core {
 
-// A request is of the first traffic type whose conditions all hold; an empty condition always holds.
+// A request belongs to the first traffic type whose conditions it meets; an empty condition is always met.
 struct TrafficTypeRule {
   std::string name;
   std::vector<std::string> models;
   std::vector<std::string> paths;
-  std::string header;  // this field has this value
-  std::string header_value;
-  Nanos time_limit{};                  // for an empty prompt
-  Nanos time_limit_per_1000_tokens{};  // added for each thousand prompt tokens
+  std::string header;                  // name in lower case
+  std::string header_value;            // the value that the header must have
+  Nanos time_limit{};                  // of a request with an empty prompt
+  Nanos time_limit_per_1000_tokens{};  // added to it per 1000 prompt tokens
 };
 
 struct Tenant {
   std::string name;
-  std::vector<std::string> api_keys;  // the bearer keys that are its own
+  std::vector<std::string> api_keys;  // accepted as bearer tokens in 'authorization'
 };
 
 struct RouterConfig {
   std::string name;
   std::string listen_address;
   std::string admin_address;      // empty: none
-  std::string discovery_address;  // address of the worker list
-  std::string last_list_path;     // file in which the last list is kept; empty: none
+  std::string discovery_address;  // where the worker list is fetched from
+  std::string last_list_path;     // file that keeps the last worker list over a restart; empty: none
   std::string log_level;
   std::size_t max_body_bytes{};
   std::size_t max_head_bytes{};
   std::size_t max_connections{};
-  int default_max_output_tokens{};  // tokens, where a request names none
+  int default_max_output_tokens{};  // assumed if a request sets no limit
   Nanos dial_timeout{};
-  Nanos idle_timeout{};                      // engine connections are kept so long
-  Nanos min_idle_before_reuse{};             // and not used again before
-  std::size_t max_connections_per_engine{};  // to one engine
-  std::size_t max_engine_connections{};      // to all of them; 0: no bound
-  Nanos stall_timeout{};                     // a stream that stands still so long has broken
+  Nanos idle_timeout{};                      // after which an idle engine connection is closed
+  Nanos min_idle_before_reuse{};             // before an engine connection is used again
+  std::size_t max_connections_per_engine{};  // to each engine
+  std::size_t max_engine_connections{};      // to all engines together; 0: unlimited
+  Nanos stall_timeout{};                     // after which a stream without progress counts as broken
   Nanos drain_grace{};
-  Nanos shutdown_timeout{};  // for what is in hand at SIGTERM
+  Nanos shutdown_timeout{};  // for requests in progress at SIGTERM
   std::vector<std::string> zones;
   std::vector<std::string> kind_names;
-  ConfigErrors unused_kind_errors;          // a fault for each kind, for a list in which no worker is of it
-  std::vector<TrafficTypeRule> type_rules;  // beside deployment.types
-  std::vector<Tenant> tenants;              // beside deployment.tenant_rates
+  ConfigErrors unused_kind_errors;          // one per kind, reported if no worker of a list is of it
+  std::vector<TrafficTypeRule> type_rules;  // same indices as settings.types
+  std::vector<Tenant> tenants;              // same indices as settings.tenant_rates
   PolicySettings settings;
 };
 
-// Nothing where any fault was found.
-std::optional<RouterConfig> read_router_config(const std::string& path, ConfigErrors& faults);
+// Returns nothing if the file has any error; all of them are added to errors.
+std::optional<RouterConfig> read_router_config(const std::string& path, ConfigErrors& errors);
 
-// What does not fit between the file and a list of workers: a kind that no worker has, a worker of a kind or zone
-// that the file does not name. For --check: in service a kind may have no worker for a while.
-ConfigErrors check_worker_list(const RouterConfig& station, const WorkerList& list,
+// Reports where the configuration and a worker list disagree: kinds without workers, and workers of a kind or in a zone that
+// the configuration does not name. Used by --check only, because in operation a kind may have no worker for a while.
+ConfigErrors check_worker_list(const RouterConfig& config, const WorkerList& list,
                                const std::string& list_path);
 
 }  // namespace cressrill::core
--- a/core/tokens.h
+++ b/core/tokens.h
@@ -1,4 +1,4 @@
-// Estimates how many tokens a text is, learned from what engines count. Free of I/O and clocks.
+// Estimates the number of tokens of a text, learning from the counts that engines report. Does no I/O and uses no clock.
 #pragma once
 
 #include <cstddef>
@@ -7,12 +7,13 @@
 
 namespace cressrill::core {
 
-// For each model two decayed sums: tokens counted and bytes sent. Until answers tell, four bytes are a token and
-// each message costs four tokens more.
+// Keeps two decayed sums for each model: tokens counted by engines and bytes sent to them. Until responses have been learned
+// from, a token is taken to be four bytes; each message counts four tokens in addition.
 class TokenEstimator {
  public:
-  double estimate(const std::string& model, std::size_t bytes, std::size_t messages) const;
-  void learn(const std::string& model, std::size_t bytes, std::size_t messages, double counted);
+  double estimate(const std::string& model, std::size_t bytes, std::size_t message_count) const;
+  // counted_tokens: the prompt tokens that an engine reported for a prompt of this size.
+  void learn(const std::string& model, std::size_t bytes, std::size_t message_count, double counted_tokens);
   double tokens_per_byte(const std::string& model) const;
 
  private:
--- a/core/well_formed.cpp
+++ b/core/well_formed.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-bool digit(char c) { return c >= '0' && c <= '9'; }
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim_right(std::string_view text) {
   while (!text.empty() &&
          (text.back() == ' ' || text.back() == '\n' || text.back() == '\r' || text.back() == '\t'))
     text.remove_suffix(1);
   return text;
 }
 
-// RFC 8259, section 6.
+// Whether the text is a JSON number (RFC 8259, section 6).
 bool is_number(std::string_view text) {
-  std::size_t i = 0;
+  std::size_t position = 0;
   const auto digits = [&] {
-    const std::size_t from = i;
-    while (i < text.size() && digit(text[i])) ++i;
-    return i > from;
+    const std::size_t from = position;
+    while (position < text.size() && is_digit(text[position])) ++position;
+    return position > from;
   };
-  if (i < text.size() && text[i] == '-') ++i;
-  const bool zero = i < text.size() && text[i] == '0';
-  const std::size_t from = i;
-  if (!digits() || (zero && i - from > 1)) return false;
-  if (i < text.size() && text[i] == '.' && (++i, !digits())) return false;
-  if (i < text.size() && (text[i] == 'e' || text[i] == 'E')) {
-    ++i;
-    if (i < text.size() && (text[i] == '+' || text[i] == '-')) ++i;
+  if (position < text.size() && text[position] == '-') ++position;
+  const bool zero = position < text.size() && text[position] == '0';
+  const std::size_t from = position;
+  if (!digits() || (zero && position - from > 1)) return false;
+  if (position < text.size() && text[position] == '.' && (++position, !digits())) return false;
+  if (position < text.size() && (text[position] == 'e' || text[position] == 'E')) {
+    ++position;
+    if (position < text.size() && (text[position] == '+' || text[position] == '-')) ++position;
     if (!digits()) return false;
   }
-  return i == text.size();
+  return position == text.size();
 }
 
 }  // namespace
@@ -50,7 +50,8 @@
         std::string_view key;
         od::value inner;
         if (member.unescaped_key().get(key) || member.value().get(inner)) return JsonValidity::invalid;
-        if (const JsonValidity f = validate_json(inner, depth + 1); f != JsonValidity::valid) return f;
+        if (const JsonValidity validity = validate_json(inner, depth + 1); validity != JsonValidity::valid)
+          return validity;
       }
       return JsonValidity::valid;
     }
@@ -60,7 +61,8 @@
       for (auto item : array) {
         od::value inner;
         if (item.get(inner)) return JsonValidity::invalid;
-        if (const JsonValidity f = validate_json(inner, depth + 1); f != JsonValidity::valid) return f;
+        if (const JsonValidity validity = validate_json(inner, depth + 1); validity != JsonValidity::valid)
+          return validity;
       }
       return JsonValidity::valid;
     }
@@ -69,15 +71,15 @@
       return value.get_string().get(text) ? JsonValidity::invalid : JsonValidity::valid;
     }
     case od::json_type::boolean: {
-      bool truth = false;
-      return value.get_bool().get(truth) ? JsonValidity::invalid : JsonValidity::valid;
+      bool boolean = false;
+      return value.get_bool().get(boolean) ? JsonValidity::invalid : JsonValidity::valid;
     }
     case od::json_type::null: {
       bool null = false;
       return value.is_null().get(null) || !null ? JsonValidity::invalid : JsonValidity::valid;
     }
     case od::json_type::number: {
-      if (!is_number(trimmed(value.raw_json_token()))) return JsonValidity::invalid;
+      if (!is_number(trim_right(value.raw_json_token()))) return JsonValidity::invalid;
       double number = 0;
       return value.get_double().get(number) ? JsonValidity::invalid : JsonValidity::valid;
     }
@@ -85,15 +87,15 @@
   return JsonValidity::invalid;
 }
 
-std::string_view text_since(const char* begins, od::document& document) {
+std::string_view text_since(const char* begin, od::document& document) {
   const char* end = nullptr;
   if (document.current_location().get(end)) return {};
-  return trimmed({begins, static_cast<std::size_t>(end - begins)});
+  return trim_right({begin, static_cast<std::size_t>(end - begin)});
 }
 
 bool at_end(od::document& document) {
-  const char* at = nullptr;
-  return document.current_location().get(at) == simdjson::OUT_OF_BOUNDS;
+  const char* location = nullptr;
+  return document.current_location().get(location) == simdjson::OUT_OF_BOUNDS;
 }
 
 }  // namespace cressrill::core
--- a/core/well_formed.h
+++ b/core/well_formed.h
@@ -1,5 +1,5 @@
-// Reads a JSON value to its end and checks all of it (RFC 8259), without a tree: simdjson's reading on demand looks
-// only at what it is asked for.
+// Validates a whole JSON value (RFC 8259) without building a document: simdjson's on-demand parser checks only the values that
+// are accessed.
 #pragma once
 
 #include <simdjson.h>
@@ -8,16 +8,17 @@
 
 namespace cressrill::core {
 
-// What nests deeper is refused: whoever reads it after us may do so by recursion.
+// Deeper nesting is rejected, because an engine that parses the body next may do so recursively.
 constexpr int kMaxJsonDepth = 64;
 
-// A number that no double holds counts as badly formed.
+// A number outside the range of a double is invalid.
 enum class JsonValidity { valid, invalid, too_deep };
+// Consumes the value. depth: its nesting depth in the document.
 JsonValidity validate_json(simdjson::ondemand::value value, int depth = 1);
 
-// The text from a place in the document to the end of the value that was read just now.
-std::string_view text_since(const char* begins, simdjson::ondemand::document& document);
-// Whether nothing follows what was read.
+// Returns the text from begin, a place in the document, to the end of the value that was read last.
+std::string_view text_since(const char* begin, simdjson::ondemand::document& document);
+// Returns whether nothing follows the value that was read last.
 bool at_end(simdjson::ondemand::document& document);
 
 }  // namespace cressrill::core
--- a/core/worker_list.h
+++ b/core/worker_list.h
@@ -1,4 +1,4 @@
-// The list of workers as the roster tells it (docs/design/engine-wire.md): one JSON object, whole or changes only.
+// The worker list as discovery publishes it (docs/design/engine-wire.md): a JSON object with all workers or with changes only.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
   std::string name;
   std::string address;
   WorkerStatus status{};
-  std::int64_t started_at{};  // nanoseconds since 1970; 0: long ago
+  std::int64_t started_at{};  // nanoseconds since the Unix epoch; 0: long ago
   std::string kind;
   std::string zone;
   std::string cell;
@@ -22,16 +22,16 @@
 
 struct WorkerList {
   std::uint64_t version{};
-  bool complete{};
+  bool complete{};  // false: only the workers that have changed
   std::vector<ListedWorker> workers;
-  // Who told it: 0 for a list that was kept over a restart, then one number for each place that is asked, rising. A later
-  // one may know less than the one before it.
+  // Which source it came from: 0 for a list kept over a restart, then a number for each discovery server in the order of
+  // their use. A later source may know less than an earlier one.
   int source{};
 };
 
-// Throws std::invalid_argument with what is wrong and where.
+// Throws std::invalid_argument, whose text says which entry is wrong and why.
 WorkerList parse_worker_list(std::string_view text);
 std::string serialize_worker_list(const WorkerList& list);
-const char* to_string(WorkerStatus standing);
+const char* to_string(WorkerStatus status);
 
 }  // namespace cressrill::core
