--- a/profile/profile.h
+++ b/profile/profile.h
@@ -1,5 +1,5 @@
-// What a starting instance is told, as lines of path=value, decoded into what the decisions read and what a host
-// needs beside them. Free of libraries: both the simulator's adapter and the platform's front feed it.
+// Decodes the settings that a router instance gets at start, lines of path=value, into the settings of the policy and those of
+// its host. Used by both the simulator adapter and the platform front end, so it depends on no other library.
 #pragma once
 
 #include <stdexcept>
@@ -17,20 +17,21 @@
 
 struct DeploymentSettings {
   PolicySettings settings;
-  std::vector<std::string> type_names;  // names, by index; blanks and commas in them are _
+  std::vector<std::string> type_names;  // by index; spaces and commas in a name are replaced by _
   std::vector<std::string> tenant_names;
   std::vector<std::string> kind_names;
   std::vector<std::string> zone_names;
-  std::vector<std::string> report_columns;  // of a load report
-  int requests_column = -1;                 // place in a load report; negative where it is not reported
-  int memory_column = -1;
+  std::vector<std::string> report_columns;  // the columns of a load report
+  int requests_column = -1;                 // index in report_columns; negative: not reported
+  int memory_column = -1;                   // likewise
   Nanos dial_timeout{};
-  Nanos worker_idle_timeout{};  // a connection idle so long is closed by its worker
+  Nanos worker_idle_timeout{};  // after which a worker closes an idle connection
   Nanos drain_grace{};
 };
 
-// Throws SettingsError, which names the key.
+// Throws SettingsError, whose text names the key.
 DeploymentSettings decode_settings(std::string_view text);
+// Converts from and to milliseconds.
 Nanos nanos(double ms);
 double millis(Nanos ns);
 
