--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -199,9 +199,9 @@
       {"a malformed chunk size", broken_stream("zz\r\nmore")},
       {"a chunk longer than its size", broken_stream("5\r\nmore than five\r\n")},
       {"a chunk of 3 GB", broken_stream("C0000000\r\n" + std::string(300'000, 'x'))},
-      {"reset", {stream_start(), ScriptedResponse::Finish::reset}},
-      {"closed", {stream_start(), ScriptedResponse::Finish::close}},
-      {"no more data", {stream_start(), ScriptedResponse::Finish::hang}},
+      {"broken", {stream_start(), ScriptedResponse::Finish::reset}},
+      {"ended", {stream_start(), ScriptedResponse::Finish::close}},
+      {"silent", {stream_start(), ScriptedResponse::Finish::hang}},
       {"half a line late, then no more data",
        broken_stream(FakeWorker::chunked("data: {\"choi"), 1500 * kMs)},
       {"half a chunk late, then no more data", broken_stream("400\r\ndata: {\"choices\":", 1500 * kMs)},
@@ -731,21 +731,21 @@
 
 TEST_CASE("a client that disconnects with unread bytes after its request is noticed") {
   for (const bool reset : {false, true})
-    for (const bool at_writer : {false, true}) {
+    for (const bool at_decode : {false, true}) {
       CAPTURE(reset);
-      CAPTURE(at_writer);
+      CAPTURE(at_decode);
       PlatformFixture fixture(1, 1);
-      fixture.worker(at_writer ? "writer-0" : "reader-0").script = {
+      fixture.worker(at_decode ? "writer-0" : "reader-0").script = {
           {"", ScriptedResponse::Finish::keep_alive, 900 * kMs, true}};
-      fixture.scope.spawn([](PlatformFixture& of, bool hard) -> io::Task<> {
+      fixture.scope.spawn([](PlatformFixture& setup, bool with_reset) -> io::Task<> {
         io::Socket socket;
-        co_await io::connect(of.loop, of.node->address(), socket);
+        co_await io::connect(setup.loop, setup.node->address(), socket);
         co_await socket.write_all(PlatformFixture::request("a1", PlatformFixture::request_body(), "60000"));
-        co_await of.loop.sleep_for(60 * kMs);
-        co_await socket.write_all(PlatformFixture::request("a2") +
-                                  "POST /v1");  // is not read while the first is in progress
-        co_await of.loop.sleep_for(60 * kMs);
-        socket.close(hard);
+        co_await setup.loop.sleep_for(60 * kMs);
+        // Is not read while the first request is in progress.
+        co_await socket.write_all(PlatformFixture::request("a2") + "POST /v1");
+        co_await setup.loop.sleep_for(60 * kMs);
+        socket.close(with_reset);
       }(fixture, reset));
       fixture.run_for(250);
       CHECK(fixture.node->host().live_requests() == 0);
@@ -753,17 +753,17 @@
       CHECK(fixture.open_requests("writer-0") == 0);
       CHECK(fixture.node->connections() == 0);
       fixture.run_for(5000);
-      CHECK(fixture.count_requests("POST") == (at_writer ? 2 : 1));  // no attempt started afterwards
-      if (at_writer)
-        CHECK(fixture.kv_entries.empty());  // the fake prefill worker finishes regardless of the client
+      CHECK(fixture.count_requests("POST") == (at_decode ? 2 : 1));  // no attempt started afterwards
+      // Checked in this case only: a fake prefill worker finishes although the client is gone.
+      if (at_decode) CHECK(fixture.kv_entries.empty());
     }
 }
 
 TEST_CASE("a request whose client disconnected before it was read is not sent to a worker") {
   PlatformFixture fixture(1, 1);
-  fixture.scope.spawn([](PlatformFixture& of) -> io::Task<> {
+  fixture.scope.spawn([](PlatformFixture& setup) -> io::Task<> {
     io::Socket socket;
-    co_await io::connect(of.loop, of.node->address(), socket);
+    co_await io::connect(setup.loop, setup.node->address(), socket);
     co_await socket.write_all(PlatformFixture::request("a1") + PlatformFixture::request("a2") +
                               PlatformFixture::request("a3"));
     socket.close();
@@ -778,30 +778,30 @@
 TEST_CASE(
     "a request that crosses the close of its connection: a clean close, no reset, and it is not sent to a "
     "worker") {
-  for (const bool before : {false, true}) {  // true: it arrives before the drain, but is not read yet
-    CAPTURE(before);
+  for (const bool request_first : {false, true}) {  // true: it arrives before the drain, but is not read yet
+    CAPTURE(request_first);
     PlatformFixture fixture(1, 1);
     std::string first, rest = "none";
     int error = 0;
-    fixture.scope.spawn(
-        [](PlatformFixture& of, bool ahead, std::string& got, std::string& after, int& why) -> io::Task<> {
-          io::Socket socket;
-          co_await io::connect(of.loop, of.node->address(), socket);
-          co_await socket.write_all(PlatformFixture::request("a1"));
-          http::MessageReader reader(socket, http::MessageKind::response);
-          http::Head head;
-          co_await reader.read_head(head);
-          co_await reader.read_body(got);
-          if (!ahead) of.node->drain();
-          co_await socket.write_all(PlatformFixture::request("a2"));
-          if (ahead) of.node->drain();
-          std::array<char, 4096> some;
-          const io::IoResult moved = co_await socket.read_some(some);
-          after.assign(some.data(), moved.bytes);
-          why = moved.error;
-          co_await of.loop.sleep_for(50 * kMs);
-          if (why == 0) why = (co_await socket.write_all(PlatformFixture::request("a3"))).error;
-        }(fixture, before, first, rest, error));
+    fixture.scope.spawn([](PlatformFixture& setup, bool sends_first, std::string& first_body,
+                           std::string& rest_of_data, int& read_error) -> io::Task<> {
+      io::Socket socket;
+      co_await io::connect(setup.loop, setup.node->address(), socket);
+      co_await socket.write_all(PlatformFixture::request("a1"));
+      http::MessageReader reader(socket, http::MessageKind::response);
+      http::Head head;
+      co_await reader.read_head(head);
+      co_await reader.read_body(first_body);
+      if (!sends_first) setup.node->drain();
+      co_await socket.write_all(PlatformFixture::request("a2"));
+      if (sends_first) setup.node->drain();
+      std::array<char, 4096> buffer;
+      const io::IoResult received = co_await socket.read_some(buffer);
+      rest_of_data.assign(buffer.data(), received.bytes);
+      read_error = received.error;
+      co_await setup.loop.sleep_for(50 * kMs);
+      if (read_error == 0) read_error = (co_await socket.write_all(PlatformFixture::request("a3"))).error;
+    }(fixture, request_first, first, rest, error));
     fixture.run_for(400);
     CHECK(first == whole_stream(3));
     CHECK(rest.empty());
@@ -831,21 +831,21 @@
 
 TEST_CASE("shutdown: a new connection may still send a request until the process closes") {
   PlatformFixture fixture(1, 1);
-  const auto late = [&](const std::string& id, io::Nanos after) {
-    fixture.scope.spawn([](PlatformFixture& of, std::string name, io::Nanos span) -> io::Task<> {
+  const auto send_later = [&](const std::string& id, io::Nanos delay_before_request) {
+    fixture.scope.spawn([](PlatformFixture& setup, std::string name, io::Nanos delay) -> io::Task<> {
       io::Socket socket;
-      co_await io::connect(of.loop, of.node->address(), socket);
-      co_await of.loop.sleep_for(span);
+      co_await io::connect(setup.loop, setup.node->address(), socket);
+      co_await setup.loop.sleep_for(delay);
       co_await socket.write_all(PlatformFixture::request(name));
       http::MessageReader reader(socket, http::MessageKind::response);
       http::Head head;
       std::string body;
       if (co_await reader.read_head(head) == http::MessageError::none) co_await reader.read_body(body);
-      of.last_responses[name] = {head.status, "", body, !body.empty(), false, 0, 0};
-    }(fixture, id, after));
+      setup.last_responses[name] = {head.status, "", body, !body.empty(), false, 0, 0};
+    }(fixture, id, delay_before_request));
   };
-  late("soon", 100 * kMs);
-  late("later", 400 * kMs);
+  send_later("soon", 100 * kMs);
+  send_later("later", 400 * kMs);
   fixture.run_for(20);
   fixture.node->drain();
   fixture.run_for(200);
