--- a/rig/soak/checker.cpp
+++ b/rig/soak/checker.cpp
@@ -17,47 +17,53 @@
 using io::kSecond;
 using io::Nanos;
 
-constexpr Nanos kNetwork = 30 * kMs;      // between processes of a busy machine
-constexpr Nanos kCutBacklog = 300 * kMs;  // links that pass again bring what was buffered
-// For which a proxy may hold back what was written: 200 ms from its connection's start, and no worker answers within 5 ms.
-constexpr Nanos kProxyLate = 195 * kMs;
-constexpr Nanos kOwedPastTerm = 700 * kMs;  // what comes later after SIGTERM is owed its end, SIGKILL or not
-// While idle clients fill the descriptors a new connection may be shut unread; a router may be held up before it reads.
-constexpr Nanos kShutUnread = 150 * kMs + kNetwork;
-constexpr Nanos kStillOpen = std::numeric_limits<Nanos>::max() - kCutBacklog;
+// Allowance for delays between processes on a busy machine.
+constexpr Nanos kNetworkDelay = 30 * kMs;
+// How long links that pass again take to deliver what was buffered.
+constexpr Nanos kLinkBacklogTime = 300 * kMs;
+// How long a proxy may still delay what a worker wrote: a proxy delays answers until 200 ms after the start
+// of the connection, and no worker answers within 5 ms.
+constexpr Nanos kMaxProxyDelay = 195 * kMs;
+// A request sent later than this after SIGTERM must get its whole stream, even if SIGKILL follows.
+constexpr Nanos kServedAfterTerm = 700 * kMs;
+// While idle clients use up the descriptors, a router may close a new connection without reading it. The
+// router may be suspended before it does.
+constexpr Nanos kMaxUnreadCloseDelay = 150 * kMs + kNetworkDelay;
+constexpr Nanos kNoEnd = std::numeric_limits<Nanos>::max() - kLinkBacklogTime;
 
-struct Post {
-  Nanos at{};
-  Nanos came{};
-  Nanos ended{};
+// One attempt, as its worker recorded it.
+struct Attempt {
+  Nanos recorded_at{};
+  Nanos arrived_at{};
+  Nanos ended_at{};
   std::string worker;
-  std::uint64_t number{};  // at that worker
-  bool reads{};
-  bool turned_away{};
+  std::uint64_t number{};  // counted by that worker
+  bool is_prefill{};
+  bool rejected{};
   std::int64_t budget_ms{};
 };
 
 struct Request {
-  Nanos began{};  // before its first byte: its client may note late that it was sent
-  Nanos sent{};
+  Nanos started_at{};  // before the first byte was written; a client may record `sent_at` late
+  Nanos sent_at{};
   Nanos deadline{};
-  Nanos left{};
-  Nanos answered{};
-  Nanos crossed{};     // the end of its connection crossed it, and it was sent elsewhere, under a new id
-  Nanos stream_cut{};  // its stream ended without the last chunk
+  Nanos left_at{};
+  Nanos answered_at{};
+  Nanos crossed_at{};  // the close of a kept connection crossed it, and the client resent it under a new id
+  Nanos stream_cut_at{};  // the stream ended without its last chunk
   int status{};
   std::string kind;
   std::string router;
-  bool first{};     // on its connection
-  std::string end;  // how it ended where there was no answer
-  Nanos ended{};
-  std::vector<Post> posts;
-  std::vector<HoldMark> holds;                                  // of its KV cache, in order of time
-  std::map<int, std::pair<Nanos, std::string>> events_written;  // when, and by which worker
+  bool first_on_connection{};
+  std::string failure;  // why there was no answer
+  Nanos failed_at{};
+  std::vector<Attempt> attempts;
+  std::vector<HoldMark> hold_marks;                             // in order of time
+  std::map<int, std::pair<Nanos, std::string>> events_written;  // by event index: the time and the worker
   std::map<int, Nanos> events_read;
 };
 
-struct Span {
+struct TimeSpan {
   Nanos from{};
   Nanos to{};
 };
@@ -65,253 +71,294 @@
 class Checker {
  public:
   Checker(std::vector<Recorder::Line> lines, const CheckerLimits& limits)
-      : lines_(std::move(lines)), limits_(limits) {}
+      : records_(std::move(lines)), limits_(limits) {}
 
   Judgement run() {
-    std::ranges::stable_sort(lines_, {}, [](const Recorder::Line& l) { return l.at("t").get<Nanos>(); });
-    for (const Recorder::Line& line : lines_) take(line);
-    for (const auto& [id, request] : requests_) judge(id, request);
-    return std::move(out_);
+    std::ranges::stable_sort(records_, {}, [](const Recorder::Line& l) { return l.at("t").get<Nanos>(); });
+    for (const Recorder::Line& line : records_) read_line(line);
+    for (const auto& [id, request] : requests_) check_request(id, request);
+    return std::move(result_);
   }
 
  private:
-  void take(const Recorder::Line& line) {
+  void read_line(const Recorder::Line& line) {
     const auto event = line.at("e").get<std::string>();
     const auto at = line.at("t").get<Nanos>();
-    last_ = at;
-    if (event == "stopped") stops_[line.at("process")].push_back({at, at + line.at("for").get<Nanos>()});
+    last_record_at_ = at;
+    if (event == "stopped")
+      process_stops_[line.at("process")].push_back({at, at + line.at("for").get<Nanos>()});
     if (event == "killed") kills_[line.at("process")].push_back(at);
-    if (event == "draining") drains_[line.at("worker")] = at;
-    if (event == "discovery_silent") discovery_silent_.push_back({at, kStillOpen});
-    if (event == "discovery_up" && !discovery_silent_.empty()) discovery_silent_.back().to = at;
-    if (event == "links_cut") cuts_[line.at("worker")].push_back({at, kStillOpen});
-    if (event == "links_pass") cuts_[line.at("worker")].back().to = at;
-    if (event == "terminated") terminations_[line.at("router")].push_back({at, kStillOpen});
+    if (event == "draining") drain_starts_[line.at("worker")] = at;
+    if (event == "discovery_silent") discovery_outages_.push_back({at, kNoEnd});
+    if (event == "discovery_up" && !discovery_outages_.empty()) discovery_outages_.back().to = at;
+    if (event == "links_cut") link_outages_[line.at("worker")].push_back({at, kNoEnd});
+    if (event == "links_pass") link_outages_[line.at("worker")].back().to = at;
+    if (event == "terminated") terminations_[line.at("router")].push_back({at, kNoEnd});
     if (event == "late_exit") terminations_[line.at("router")].back().to = at;
-    if (event == "crowd_came") crowds_.push_back({at, kStillOpen});
-    if (event == "crowd_gone") crowds_.back().to = at;
-    if (event == "breach") breach(line.at("what"));
+    if (event == "crowd_came") idle_crowds_.push_back({at, kNoEnd});
+    if (event == "crowd_gone") idle_crowds_.back().to = at;
+    if (event == "breach") add_breach(line.at("what"));
     if (event == "unanswered_disturber" && !killed_between(line.at("router"), at - 4 * kSecond, at))
-      breach("a client that sent what cannot be read got neither an error nor a close within 3.5 s");
+      add_breach("a client that sent a malformed request got neither an error nor a close within 3.5 s");
     if (const auto id = line.find("id"); id != line.end() && !id->get<std::string>().empty())
-      take_of(requests_[id->get<std::string>()], event, at, line);
+      read_request_event(requests_[id->get<std::string>()], event, at, line);
   }
 
-  void take_of(Request& r, const std::string& event, Nanos at, const Recorder::Line& line) {
+  void read_request_event(Request& request, const std::string& event, Nanos at, const Recorder::Line& line) {
     if (event == "sent") {
-      r.sent = at, r.deadline = at + line.at("budget_ms").get<std::int64_t>() * kMs;
-      r.kind = line.at("kind"), r.router = line.at("router");
-      r.began = line.at("began"), r.first = line.at("first");
+      request.sent_at = at;
+      request.deadline = at + line.at("budget_ms").get<std::int64_t>() * kMs;
+      request.kind = line.at("kind");
+      request.router = line.at("router");
+      request.started_at = line.at("began");
+      request.first_on_connection = line.at("first");
+    }
+    if (event == "crossed") request.crossed_at = at;
+    if (event == "stream_cut") request.stream_cut_at = at;
+    if (event == "left") request.left_at = at;
+    if (event == "answer") {
+      request.answered_at = at;
+      request.status = line.at("status");
+    }
+    if (event == "no_answer") {
+      request.failure = line.at("how");
+      request.failed_at = at;
     }
-    if (event == "crossed") r.crossed = at;
-    if (event == "stream_cut") r.stream_cut = at;
-    if (event == "left") r.left = at;
-    if (event == "answer") r.answered = at, r.status = line.at("status");
-    if (event == "no_answer") r.end = line.at("how"), r.ended = at;
     if (event == "post")
-      r.posts.push_back({at, line.at("came"), 0, line.at("worker"), line.at("number"), line.at("reads"),
-                         false, line.at("budget_ms")});
-    if (event == "post_end" || event == "turned_away") end_post(r, event, at, line);
-    if (event == "held") r.holds.push_back({HoldMark::What::held, at, number_of(line.at("worker"))});
-    if (event == "fetched") r.holds.push_back({HoldMark::What::taken, at, number_of(line.at("worker"))});
-    if (event == "released") r.holds.push_back({HoldMark::What::released, at, number_of(line.at("worker"))});
-    // A client gets one stream, the last that begins.
-    if (event == "event" && line.at("index") == 0) r.events_written.clear();
-    if (event == "event") r.events_written[line.at("index")] = {at, line.at("worker")};
-    if (event == "event_read") r.events_read[line.at("index")] = at;
+      request.attempts.push_back({at, line.at("came"), 0, line.at("worker"), line.at("number"),
+                                  line.at("reads"), false, line.at("budget_ms")});
+    if (event == "post_end" || event == "turned_away") end_attempt(request, event, at, line);
+    if (event == "held")
+      request.hold_marks.push_back({HoldMark::What::held, at, worker_number(line.at("worker"))});
+    if (event == "fetched")
+      request.hold_marks.push_back({HoldMark::What::taken, at, worker_number(line.at("worker"))});
+    if (event == "released")
+      request.hold_marks.push_back({HoldMark::What::released, at, worker_number(line.at("worker"))});
+    // A client receives only one stream, the one that started last.
+    if (event == "event" && line.at("index") == 0) request.events_written.clear();
+    if (event == "event") request.events_written[line.at("index")] = {at, line.at("worker")};
+    if (event == "event_read") request.events_read[line.at("index")] = at;
   }
 
-  static void end_post(Request& r, const std::string& event, Nanos at, const Recorder::Line& line) {
-    for (Post& p : r.posts) {
-      if (p.worker != line.at("worker") || p.number != line.at("number")) continue;
+  static void end_attempt(Request& request, const std::string& event, Nanos at, const Recorder::Line& line) {
+    for (Attempt& attempt : request.attempts) {
+      if (attempt.worker != line.at("worker") || attempt.number != line.at("number")) continue;
       if (event == "turned_away")
-        p.turned_away = true;
+        attempt.rejected = true;
       else
-        p.ended = at;
+        attempt.ended_at = at;
       return;
     }
   }
 
-  void breach(std::string what) { out_.breaches.push_back(std::move(what)); }
+  void add_breach(std::string what) { result_.breaches.push_back(std::move(what)); }
 
   bool stopped_around(const std::string& process, Nanos at) const {
-    const auto spans = stops_.find(process);
-    if (spans == stops_.end()) return false;
+    const auto spans = process_stops_.find(process);
+    if (spans == process_stops_.end()) return false;
     return std::ranges::any_of(
-        spans->second, [at](const Span& s) { return at >= s.from - 50 * kMs && at <= s.to + 300 * kMs; });
+        spans->second, [at](const TimeSpan& s) { return at >= s.from - 50 * kMs && at <= s.to + 300 * kMs; });
   }
   bool killed_between(const std::string& process, Nanos from, Nanos to) const {
     const auto kills = kills_.find(process);
     return kills != kills_.end() &&
            std::ranges::any_of(kills->second, [=](Nanos k) { return k >= from && k <= to; });
   }
-  // Whether what came to a worker may have waited on silent links before: its id less the generation names the links.
-  bool cut_before(const std::string& worker, Nanos at) const {
-    const auto cuts = cuts_.find(worker.substr(0, worker.rfind('-')));
-    return cuts != cuts_.end() && std::ranges::any_of(cuts->second, [at](const Span& cut) {
-             return at >= cut.from && at <= cut.to + kCutBacklog;
+  // Whether what arrived at a worker at that time may have been delayed on silent links. Link records name
+  // the worker without its generation.
+  bool link_was_silent(const std::string& worker, Nanos at) const {
+    const auto outages = link_outages_.find(worker.substr(0, worker.rfind('-')));
+    return outages != link_outages_.end() &&
+           std::ranges::any_of(outages->second, [at](const TimeSpan& outage) {
+             return at >= outage.from && at <= outage.to + kLinkBacklogTime;
            });
   }
-  // Whether what a worker wrote may have waited at its proxy until its links fell silent.
-  bool held_back_by_link(const std::string& worker, Nanos written) const {
-    return cut_before(worker, written) || cut_before(worker, written + kProxyLate);
+  // Whether what a worker wrote may still have been in its proxy when its links fell silent.
+  bool may_be_held_back_by_link(const std::string& worker, Nanos written) const {
+    return link_was_silent(worker, written) || link_was_silent(worker, written + kMaxProxyDelay);
   }
-  // From when on discovery's agents could be asked for what it had then.
-  Nanos reachable_from(Nanos at) const {
-    for (const Span& silent : discovery_silent_)
-      if (at >= silent.from && at < silent.to) return silent.to;
+  // The earliest time, from `at` on, at which discovery answered queries.
+  Nanos discovery_reachable_from(Nanos at) const {
+    for (const TimeSpan& outage : discovery_outages_)
+      if (at >= outage.from && at < outage.to) return outage.to;
     return at;
   }
 
-  void judge(const std::string& id, const Request& r) {
-    if (r.sent == 0) return;
-    if (r.crossed > 0 || shut_unread(r)) return judge_crossed(id, r);
-    ++out_.requests;
-    if (killed_between(r.router, r.began, r.deadline + 500 * kMs + kNetwork) && r.answered == 0) {
-      ++out_.excused;
+  void check_request(const std::string& id, const Request& request) {
+    if (request.sent_at == 0) return;
+    if (request.crossed_at > 0 || may_be_closed_unread(request)) return check_unread(id, request);
+    ++result_.requests;
+    if (killed_between(request.router, request.started_at, request.deadline + 500 * kMs + kNetworkDelay) &&
+        request.answered_at == 0) {
+      ++result_.excused;
     } else {
-      judge_answer(id, r);
+      check_answer(id, request);
     }
-    for (const Post& p : r.posts) judge_post(id, r, p);
-    judge_repeats(id, r);
-    judge_held(id, r);
-    judge_stream(id, r);
-    for (const auto& [index, event] : r.events_written) {
+    for (const Attempt& attempt : request.attempts) check_attempt(id, request, attempt);
+    check_repeats(id, request);
+    check_held(id, request);
+    check_stream(id, request);
+    for (const auto& [index, event] : request.events_written) {
       const auto& [written, worker] = event;
-      const auto read = r.events_read.find(index);
-      if (read == r.events_read.end() || stopped_around(r.router, written)) continue;
-      if (held_back_by_link(worker, written)) continue;
-      if (read->second - written > 300 * kMs + kNetwork)
-        breach(fmt::format("{}: event {} held back for {} ms", id, index, (read->second - written) / kMs));
+      const auto read = request.events_read.find(index);
+      if (read == request.events_read.end() || stopped_around(request.router, written)) continue;
+      if (may_be_held_back_by_link(worker, written)) continue;
+      if (read->second - written > 300 * kMs + kNetworkDelay)
+        add_breach(fmt::format("{}: event {} delayed for {} ms", id, index, (read->second - written) / kMs));
     }
   }
 
-  // Whether its new connection may have been shut as it came, to make room among idle clients.
-  bool shut_unread(const Request& r) const {
-    if (!r.first || r.end != "closed" || r.ended - r.sent > kShutUnread) return false;
-    return std::ranges::any_of(crowds_, [&](const Span& c) { return r.began >= c.from && r.began <= c.to; });
+  // Whether the router may have closed the new connection without reading it, as idle clients used up the
+  // descriptors.
+  bool may_be_closed_unread(const Request& request) const {
+    if (!request.first_on_connection || request.failure != "closed" ||
+        request.failed_at - request.sent_at > kMaxUnreadCloseDelay)
+      return false;
+    return std::ranges::any_of(idle_crowds_, [&](const TimeSpan& c) {
+      return request.started_at >= c.from && request.started_at <= c.to;
+    });
   }
 
-  // Its client sends it elsewhere, under a new id: its router must not have read it.
-  void judge_crossed(const std::string& id, const Request& r) {
-    if (r.posts.empty() || killed_between(r.router, r.began, std::max(r.crossed, r.ended))) return;
-    breach(
-        fmt::format("{}: lost at {}, which forwarded it and ended its connection unanswered", id, r.router));
+  // The client resends such a request elsewhere under a new id, so that its router must not have forwarded
+  // it.
+  void check_unread(const std::string& id, const Request& request) {
+    if (request.attempts.empty() ||
+        killed_between(request.router, request.started_at, std::max(request.crossed_at, request.failed_at)))
+      return;
+    add_breach(fmt::format("{}: lost at {}, which forwarded it and ended its connection unanswered", id,
+                           request.router));
   }
 
-  // What SIGKILL cuts off is lost where it was sent well after SIGTERM.
-  void judge_stream(const std::string& id, const Request& r) {
-    const auto spans = terminations_.find(r.router);
-    if (r.stream_cut == 0 || spans == terminations_.end()) return;
-    for (const Span& ending : spans->second) {
-      const bool by_kill = r.stream_cut >= ending.to - kNetwork && r.stream_cut <= ending.to + kNetwork;
-      if (by_kill && r.sent > ending.from + kOwedPastTerm)
-        breach(fmt::format("{}: its stream was cut by the kill, {} ms after SIGTERM", id,
-                           (ending.to - ending.from) / kMs));
+  // A stream that SIGKILL cuts off is a breach if its request was sent well after SIGTERM.
+  void check_stream(const std::string& id, const Request& request) {
+    const auto spans = terminations_.find(request.router);
+    if (request.stream_cut_at == 0 || spans == terminations_.end()) return;
+    for (const TimeSpan& termination : spans->second) {
+      const bool cut_by_kill = request.stream_cut_at >= termination.to - kNetworkDelay &&
+                               request.stream_cut_at <= termination.to + kNetworkDelay;
+      if (cut_by_kill && request.sent_at > termination.from + kServedAfterTerm)
+        add_breach(fmt::format("{}: its stream was cut by the kill, {} ms after SIGTERM", id,
+                               (termination.to - termination.from) / kMs));
     }
   }
 
-  void judge_answer(const std::string& id, const Request& r) {
-    if (r.left > 0) {
-      ++out_.left;
+  void check_answer(const std::string& id, const Request& request) {
+    if (request.left_at > 0) {
+      ++result_.left;
       return;
     }
-    if (r.answered == 0) {
-      if (r.sent + 6 * kSecond > last_ && r.end.empty()) return;  // the soak ended first
-      breach(fmt::format("{}: lost at {} after {} ms ({})", id, r.router, (last_ - r.sent) / kMs, r.end));
+    if (request.answered_at == 0) {
+      if (request.sent_at + 6 * kSecond > last_record_at_ && request.failure.empty())
+        return;  // the soak ended before the answer was due
+      add_breach(fmt::format("{}: lost at {} after {} ms ({})", id, request.router,
+                             (last_record_at_ - request.sent_at) / kMs, request.failure));
       return;
     }
-    const bool served = r.status == 200;
-    ++(served ? out_.served : r.status == 503 || r.status == 429 ? out_.refused : out_.failed);
-    if (!served && r.answered > r.deadline + 500 * kMs + kNetwork)
-      breach(fmt::format("{}: answered {} ms after its deadline", id, (r.answered - r.deadline) / kMs));
+    const bool served = request.status == 200;
+    ++(served                                           ? result_.served
+       : request.status == 503 || request.status == 429 ? result_.refused
+                                                        : result_.failed);
+    if (!served && request.answered_at > request.deadline + 500 * kMs + kNetworkDelay)
+      add_breach(fmt::format("{}: answered {} ms after its deadline", id,
+                             (request.answered_at - request.deadline) / kMs));
   }
 
-  void judge_post(const std::string& id, const Request& r, const Post& p) {
-    if (stopped_around(p.worker, p.at) || cut_before(p.worker, p.at)) return;
-    if (r.left > 0 && p.came > r.left + 100 * kMs + kNetwork)
-      breach(fmt::format("{}: attempt at {} began {} ms after its client left", id, p.worker,
-                         (p.came - r.left) / kMs));
-    const Nanos budget = p.budget_ms * kMs, left = r.deadline - p.came;
-    if (budget > std::max<Nanos>(left, 0) + 150 * kMs + kNetwork)
-      breach(fmt::format("{}: {} was told {} ms where {} were left", id, p.worker, p.budget_ms, left / kMs));
-    const auto drain = drains_.find(p.worker);
-    if (drain == drains_.end()) return;
-    const Nanos told = reachable_from(drain->second) + 6 * kSecond;
-    if (p.came > told + limits_.drain_grace + 50 * kMs + kNetwork)
-      breach(
-          fmt::format("{}: sent to {} {} ms after its drain was told", id, p.worker, (p.came - told) / kMs));
+  void check_attempt(const std::string& id, const Request& request, const Attempt& attempt) {
+    if (stopped_around(attempt.worker, attempt.recorded_at) ||
+        link_was_silent(attempt.worker, attempt.recorded_at))
+      return;
+    if (request.left_at > 0 && attempt.arrived_at > request.left_at + 100 * kMs + kNetworkDelay)
+      add_breach(fmt::format("{}: attempt at {} started {} ms after the client left", id, attempt.worker,
+                             (attempt.arrived_at - request.left_at) / kMs));
+    const Nanos budget = attempt.budget_ms * kMs, time_left = request.deadline - attempt.arrived_at;
+    if (budget > std::max<Nanos>(time_left, 0) + 150 * kMs + kNetworkDelay)
+      add_breach(fmt::format("{}: {} was given a budget of {} ms where {} ms were left", id, attempt.worker,
+                             attempt.budget_ms, time_left / kMs));
+    const auto drain_start = drain_starts_.find(attempt.worker);
+    if (drain_start == drain_starts_.end()) return;
+    const Nanos notified_at = discovery_reachable_from(drain_start->second) + 6 * kSecond;
+    if (attempt.arrived_at > notified_at + limits_.drain_grace + 50 * kMs + kNetworkDelay)
+      add_breach(fmt::format("{}: sent to {} {} ms after the router was notified of its drain", id,
+                             attempt.worker, (attempt.arrived_at - notified_at) / kMs));
   }
 
-  // Requests with an effect: of those writes that may have run, no second one, or within the window of the first.
-  void judge_repeats(const std::string& id, const Request& r) {
-    if (r.kind == "chat") return;
-    std::optional<Nanos> first;
-    for (const Post& p : r.posts) {
-      if (p.reads) continue;
-      if (first && r.kind == "pay") breach(fmt::format("{}: written twice", id));
-      if (first && r.kind == "order" && !cut_before(p.worker, p.at) &&
-          p.came - *first > limits_.window + 50 * kMs + kNetwork)
-        breach(fmt::format("{}: repeated {} ms after the first", id, (p.came - *first) / kMs));
-      if (!first && !p.turned_away) first = p.came;
+  // Requests with side effects: once a decode attempt may have run, no second one is allowed (kind "pay"), or
+  // only within the window of the first (kind "order").
+  void check_repeats(const std::string& id, const Request& request) {
+    if (request.kind == "chat") return;
+    std::optional<Nanos> first_at;
+    for (const Attempt& attempt : request.attempts) {
+      if (attempt.is_prefill) continue;
+      if (first_at && request.kind == "pay") add_breach(fmt::format("{}: sent to decode twice", id));
+      if (first_at && request.kind == "order" && !link_was_silent(attempt.worker, attempt.recorded_at) &&
+          attempt.arrived_at - *first_at > limits_.window + 50 * kMs + kNetworkDelay)
+        add_breach(fmt::format("{}: repeated {} ms after the first decode attempt", id,
+                               (attempt.arrived_at - *first_at) / kMs));
+      if (!first_at && !attempt.rejected) first_at = attempt.arrived_at;
     }
   }
 
-  void judge_held(const std::string& id, const Request& r) {
+  void check_held(const std::string& id, const Request& request) {
     std::vector<AttemptSpan> attempts;
-    for (const Post& p : r.posts)
-      attempts.push_back({p.came, p.ended == 0 ? kNever : p.ended, number_of(p.worker), p.reads});
-    for (const HeldSpan& span : held_spans(attempts, r.holds, last_)) {
-      const Nanos most = limits_.held_for + 300 * kMs + kNetwork;
-      const Nanos unattended = unattended_until_kill(r, attempts, span);
-      if (unattended <= most || stood_still(r)) continue;
-      breach(fmt::format("{}: its state was held for {} ms", id, unattended / kMs));
+    for (const Attempt& attempt : request.attempts)
+      attempts.push_back({attempt.arrived_at, attempt.ended_at == 0 ? kNever : attempt.ended_at,
+                          worker_number(attempt.worker), attempt.is_prefill});
+    for (const HeldSpan& span : held_spans(attempts, request.hold_marks, last_record_at_)) {
+      const Nanos max_unattended = limits_.held_for + 300 * kMs + kNetworkDelay;
+      const Nanos unattended = unattended_until_kill(request, attempts, span);
+      if (unattended <= max_unattended || any_worker_stopped(request)) continue;
+      add_breach(fmt::format("{}: its KV cache was held for {} ms", id, unattended / kMs));
     }
   }
-  // A kill of its router, or of a worker of the request, excuses what was held from then on, and nothing before.
-  Nanos unattended_until_kill(const Request& r, const std::vector<AttemptSpan>& attempts,
+  // How long the KV cache was unattended until the first kill of the request's router or of one of its
+  // workers. The kill excuses the time after it, not the time before.
+  Nanos unattended_until_kill(const Request& request, const std::vector<AttemptSpan>& attempts,
                               const HeldSpan& span) const {
-    const Nanos kill = first_kill(r, span.from, span.until);
+    const Nanos kill = first_kill(request, span.from, span.until);
     if (kill == kNever) return span.unattended;
-    std::vector<HoldMark> before = r.holds;
-    std::erase_if(before, [kill](const HoldMark& mark) { return mark.at > kill; });
-    for (const HeldSpan& shorter : held_spans(attempts, before, kill))
-      if (shorter.from == span.from) return shorter.unattended;
+    std::vector<HoldMark> marks_before = request.hold_marks;
+    std::erase_if(marks_before, [kill](const HoldMark& mark) { return mark.at > kill; });
+    for (const HeldSpan& span_until_kill : held_spans(attempts, marks_before, kill))
+      if (span_until_kill.from == span.from) return span_until_kill.unattended;
     return 0;
   }
-  int number_of(const std::string& worker) {
+  int worker_number(const std::string& worker) {
     return worker_numbers_.try_emplace(worker, static_cast<int>(worker_numbers_.size())).first->second;
   }
-  // Of its router, or of a worker that it was sent to; kNever where none was killed in that time.
-  Nanos first_kill(const Request& r, Nanos from, Nanos until) const {
-    Nanos first = kNever;
-    const auto look_at = [&](const std::string& process) {
+  // The first kill of the request's router, or of a worker it was sent to; kNever if there was none in that
+  // time.
+  Nanos first_kill(const Request& request, Nanos from, Nanos until) const {
+    Nanos first_kill_at = kNever;
+    const auto consider = [&](const std::string& process) {
       const auto kills = kills_.find(process);
       if (kills == kills_.end()) return;
       for (const Nanos kill : kills->second)
-        if (kill >= from && kill <= until) first = std::min(first, kill);
+        if (kill >= from && kill <= until) first_kill_at = std::min(first_kill_at, kill);
     };
-    look_at(r.router);
-    for (const Post& p : r.posts) look_at(p.worker);
-    return first;
+    consider(request.router);
+    for (const Attempt& attempt : request.attempts) consider(attempt.worker);
+    return first_kill_at;
   }
-  bool stood_still(const Request& r) const {
-    return std::ranges::any_of(r.posts, [&](const Post& p) { return stopped_around(p.worker, p.at); });
+  bool any_worker_stopped(const Request& request) const {
+    return std::ranges::any_of(request.attempts, [&](const Attempt& attempt) {
+      return stopped_around(attempt.worker, attempt.recorded_at);
+    });
   }
 
-  std::vector<Recorder::Line> lines_;
+  std::vector<Recorder::Line> records_;
   std::map<std::string, int> worker_numbers_;
   CheckerLimits limits_;
-  Judgement out_;
+  Judgement result_;
   std::map<std::string, Request> requests_;
-  std::map<std::string, std::vector<Span>> stops_;
+  std::map<std::string, std::vector<TimeSpan>> process_stops_;
   std::map<std::string, std::vector<Nanos>> kills_;
-  std::map<std::string, std::vector<Span>> terminations_;  // from SIGTERM to SIGKILL, where that had to come
-  std::vector<Span> crowds_;                               // of idle clients
-  std::map<std::string, Nanos> drains_;
-  std::vector<Span> discovery_silent_;
-  std::map<std::string, std::vector<Span>> cuts_;  // by the worker's name without its generation
-  Nanos last_{};
+  // From SIGTERM to SIGKILL; kNoEnd where no SIGKILL was sent.
+  std::map<std::string, std::vector<TimeSpan>> terminations_;
+  std::vector<TimeSpan> idle_crowds_;  // while idle clients were connected
+  std::map<std::string, Nanos> drain_starts_;
+  std::vector<TimeSpan> discovery_outages_;
+  std::map<std::string, std::vector<TimeSpan>> link_outages_;  // by worker name, without the generation
+  Nanos last_record_at_{};
 };
 
 }  // namespace
--- a/tests/soak_checker_test.cpp
+++ b/tests/soak_checker_test.cpp
@@ -1,4 +1,5 @@
-// The soak's judge, on records written by hand: what it must condemn, and what it must pass, for each rule. Times in ms.
+// Tests of the soak checker on hand-written records: which breaches it must report for each rule, and what it
+// must accept. Times are in milliseconds.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,11 +13,11 @@
 using Line = rig::Recorder::Line;
 using Lines = std::vector<Line>;
 
-constexpr io::Nanos kBegan = 100 * io::kSecond;
+constexpr io::Nanos kSoakStart = 100 * io::kSecond;
 
-Line line(std::int64_t at_ms, const char* event, const Line& more) {
-  Line out{{"t", kBegan + at_ms * io::kMs}, {"e", event}};
-  out.update(more);
+Line line(std::int64_t at_ms, const char* event, const Line& fields) {
+  Line out{{"t", kSoakStart + at_ms * io::kMs}, {"e", event}};
+  out.update(fields);
   return out;
 }
 Line sent(std::int64_t at, const char* kind = "chat", int budget_ms = 2000) {
@@ -26,27 +27,28 @@
                {"budget_ms", budget_ms},
                {"router", "r"},
                {"first", true},
-               {"began", kBegan + (at - 95) * io::kMs}});
+               {"began", kSoakStart + (at - 95) * io::kMs}});
 }
 Line answer(std::int64_t at, int status = 200) {
   return line(at, "answer", {{"id", "a"}, {"status", status}});
 }
-Line post(std::int64_t at, const char* worker, bool reads, int number = 1, int budget_ms = 100) {
+Line attempt_arrives(std::int64_t at, const char* worker, bool is_prefill, int number = 1,
+                     int budget_ms = 100) {
   return line(at, "post",
               {{"id", "a"},
                {"worker", worker},
                {"number", number},
-               {"reads", reads},
+               {"reads", is_prefill},
                {"budget_ms", budget_ms},
-               {"came", kBegan + at * io::kMs}});
+               {"came", kSoakStart + at * io::kMs}});
 }
-Line of_worker(std::int64_t at, const char* event, const char* worker, int number = 1) {
+Line worker_event(std::int64_t at, const char* event, const char* worker, int number = 1) {
   return line(at, event, {{"id", "a"}, {"worker", worker}, {"number", number}});
 }
-Line end_of_play() { return line(20'000, "end", Line::object()); }
+Line end_of_soak() { return line(20'000, "end", Line::object()); }
 
 std::size_t breaches(Lines lines, int limit_ms = 500) {
-  lines.push_back(end_of_play());
+  lines.push_back(end_of_soak());
   return rig::soak::check(std::move(lines), {.held_for = limit_ms * io::kMs}).breaches.size();
 }
 Lines operator+(Lines lines, const Lines& more) {
@@ -54,89 +56,94 @@
   return lines;
 }
 
-// A read that leaves something at 20 ms.
-const Lines kRead{sent(0), post(10, "prefill-0-0", true), of_worker(20, "held", "prefill-0-0"),
-                  of_worker(21, "post_end", "prefill-0-0"), answer(1500, 503)};
+// A request whose prefill leaves KV cache held at 20 ms and that no decode attempt follows.
+const Lines kHeldPrefill{sent(0), attempt_arrives(10, "prefill-0-0", true),
+                         worker_event(20, "held", "prefill-0-0"), worker_event(21, "post_end", "prefill-0-0"),
+                         answer(1500, 503)};
 
 }  // namespace
 
-TEST_CASE("the judge: held state that is released or taken in time passes, and is condemned else") {
-  CHECK(breaches(kRead + Lines{of_worker(700, "released", "decode-1-0")}) == 0);
-  CHECK(breaches(kRead + Lines{of_worker(900, "released", "decode-1-0")}) == 1);
-  CHECK(breaches(kRead) == 1);
-  CHECK(breaches(kRead + Lines{post(30, "decode-1-0", false), of_worker(40, "fetched", "decode-1-0"),
-                               of_worker(90, "post_end", "decode-1-0")}) == 0);
+TEST_CASE("soak checker: KV cache must be taken or released in time") {
+  CHECK(breaches(kHeldPrefill + Lines{worker_event(700, "released", "decode-1-0")}) == 0);
+  CHECK(breaches(kHeldPrefill + Lines{worker_event(900, "released", "decode-1-0")}) == 1);
+  CHECK(breaches(kHeldPrefill) == 1);
+  CHECK(breaches(kHeldPrefill + Lines{attempt_arrives(30, "decode-1-0", false),
+                                      worker_event(40, "fetched", "decode-1-0"),
+                                      worker_event(90, "post_end", "decode-1-0")}) == 0);
 }
 
-TEST_CASE("the judge: the first event that frees counts, not a later one") {
-  const Lines fetched{post(30, "decode-1-0", false), of_worker(40, "fetched", "decode-1-0"),
-                      of_worker(90, "post_end", "decode-1-0")};
-  CHECK(breaches(kRead + fetched + Lines{of_worker(5000, "released", "prefill-0-0")}) == 0);
-  CHECK(breaches(kRead + Lines{of_worker(300, "released", "decode-1-0"),
-                               of_worker(5000, "released", "decode-1-0")}) == 0);
-  CHECK(breaches(kRead + Lines{of_worker(1200, "released", "decode-1-0"),
-                               of_worker(1300, "released", "decode-1-0")}) == 1);
+TEST_CASE("soak checker: held time ends at the first take or release, not at a later one") {
+  const Lines fetched{attempt_arrives(30, "decode-1-0", false), worker_event(40, "fetched", "decode-1-0"),
+                      worker_event(90, "post_end", "decode-1-0")};
+  CHECK(breaches(kHeldPrefill + fetched + Lines{worker_event(5000, "released", "prefill-0-0")}) == 0);
+  CHECK(breaches(kHeldPrefill + Lines{worker_event(300, "released", "decode-1-0"),
+                                      worker_event(5000, "released", "decode-1-0")}) == 0);
+  CHECK(breaches(kHeldPrefill + Lines{worker_event(1200, "released", "decode-1-0"),
+                                      worker_event(1300, "released", "decode-1-0")}) == 1);
 }
 
-TEST_CASE("the judge: an attempt that arrived rests the clock, one before or after does not") {
-  const Lines waits{post(300, "decode-1-0", false), of_worker(2300, "post_end", "decode-1-0")};
-  CHECK(breaches(kRead + waits + Lines{of_worker(2900, "released", "decode-1-0")}) == 0);
-  CHECK(breaches(kRead + waits + Lines{of_worker(3500, "released", "decode-1-0")}) == 1);
-  const Lines late{post(1500, "decode-1-0", false), of_worker(1510, "post_end", "decode-1-0")};
-  CHECK(breaches(kRead + late + Lines{of_worker(1600, "released", "decode-1-0")}) == 1);
-  // A release frees nothing that an attempt waits for.
-  CHECK(breaches(kRead + waits + Lines{of_worker(700, "released", "prefill-0-0")}) == 1);
+TEST_CASE("soak checker: only an attempt at a worker during the hold stops the hold clock") {
+  const Lines waits{attempt_arrives(300, "decode-1-0", false), worker_event(2300, "post_end", "decode-1-0")};
+  CHECK(breaches(kHeldPrefill + waits + Lines{worker_event(2900, "released", "decode-1-0")}) == 0);
+  CHECK(breaches(kHeldPrefill + waits + Lines{worker_event(3500, "released", "decode-1-0")}) == 1);
+  const Lines late{attempt_arrives(1500, "decode-1-0", false), worker_event(1510, "post_end", "decode-1-0")};
+  CHECK(breaches(kHeldPrefill + late + Lines{worker_event(1600, "released", "decode-1-0")}) == 1);
+  // A release does not free KV cache that a decode attempt waits for.
+  CHECK(breaches(kHeldPrefill + waits + Lines{worker_event(700, "released", "prefill-0-0")}) == 1);
 }
 
-TEST_CASE("the judge: a kill excuses what its router held then, and nothing before or after") {
+TEST_CASE("soak checker: a kill excuses KV cache held from then on, and no breach before or after it") {
   const auto killed = [](std::int64_t at) { return line(at, "killed", {{"process", "r"}}); };
-  CHECK(breaches(kRead + Lines{killed(400)}) == 0);
-  // It was held for too long before.
-  CHECK(breaches(kRead + Lines{killed(900)}) == 1);
-  CHECK(breaches(kRead + Lines{killed(400), killed(900)}) == 0);
+  CHECK(breaches(kHeldPrefill + Lines{killed(400)}) == 0);
+  // It had been held for too long before the kill.
+  CHECK(breaches(kHeldPrefill + Lines{killed(900)}) == 1);
+  CHECK(breaches(kHeldPrefill + Lines{killed(400), killed(900)}) == 0);
   const Line worker_killed = line(900, "killed", {{"process", "prefill-0-0"}});
-  CHECK(breaches(kRead + Lines{worker_killed}) == 1);
-  const Lines released{of_worker(700, "released", "decode-1-0")};
-  CHECK(breaches(kRead + released + Lines{killed(900)}) == 0);
-  CHECK(breaches(Lines{killed(5)} + kRead) == 1);
+  CHECK(breaches(kHeldPrefill + Lines{worker_killed}) == 1);
+  const Lines released{worker_event(700, "released", "decode-1-0")};
+  CHECK(breaches(kHeldPrefill + released + Lines{killed(900)}) == 0);
+  CHECK(breaches(Lines{killed(5)} + kHeldPrefill) == 1);
   CHECK(breaches({sent(0), line(8000, "killed", {{"process", "r"}}),
                   line(9000, "no_answer", {{"id", "a"}, {"how", "closed"}})}) == 1);
   CHECK(breaches({sent(0), line(800, "killed", {{"process", "r"}}),
                   line(801, "no_answer", {{"id", "a"}, {"how", "closed"}})}) == 0);
 }
 
-TEST_CASE("the judge: answers in time and late") {
+TEST_CASE("soak checker: late and missing answers are reported") {
   CHECK(breaches({sent(0), answer(2400, 503)}) == 0);
   CHECK(breaches({sent(0), answer(2600, 503)}) == 1);
   CHECK(breaches({sent(0), line(9000, "no_answer", {{"id", "a"}, {"how", "nothing came"}})}) == 1);
 }
 
-TEST_CASE("the judge: repeats of what must not run twice, or not past its window") {
-  const Lines once{post(100, "decode-1-0", false), of_worker(110, "post_end", "decode-1-0"), answer(3000)};
-  const auto again = [](std::int64_t at) {
-    return Lines{post(at, "decode-2-0", false), of_worker(at + 5, "post_end", "decode-2-0")};
+TEST_CASE(
+    "soak checker: repeats of requests that must not run twice, or only within a window, are reported") {
+  const Lines once{attempt_arrives(100, "decode-1-0", false), worker_event(110, "post_end", "decode-1-0"),
+                   answer(3000)};
+  const auto repeat_at = [](std::int64_t at) {
+    return Lines{attempt_arrives(at, "decode-2-0", false), worker_event(at + 5, "post_end", "decode-2-0")};
   };
   CHECK(breaches(Lines{sent(0, "pay")} + once) == 0);
-  CHECK(breaches(Lines{sent(0, "pay")} + once + again(300)) == 1);
-  CHECK(breaches(Lines{sent(0, "order")} + once + again(1600)) == 0);
-  CHECK(breaches(Lines{sent(0, "order")} + once + again(1700)) == 1);
-  CHECK(breaches(Lines{sent(0, "chat")} + once + again(1700)) == 0);
-  // Silent links bring an order late, and excuse no second payment.
+  CHECK(breaches(Lines{sent(0, "pay")} + once + repeat_at(300)) == 1);
+  CHECK(breaches(Lines{sent(0, "order")} + once + repeat_at(1600)) == 0);
+  CHECK(breaches(Lines{sent(0, "order")} + once + repeat_at(1700)) == 1);
+  CHECK(breaches(Lines{sent(0, "chat")} + once + repeat_at(1700)) == 0);
+  // A silent link excuses the late repeat of an order, but not a second payment.
   const Lines cut{line(200, "links_cut", {{"worker", "decode-2"}}),
                   line(1650, "links_pass", {{"worker", "decode-2"}})};
-  CHECK(breaches(Lines{sent(0, "order")} + once + cut + again(1700)) == 0);
-  CHECK(breaches(Lines{sent(0, "pay")} + once + cut + again(1700)) == 1);
+  CHECK(breaches(Lines{sent(0, "order")} + once + cut + repeat_at(1700)) == 0);
+  CHECK(breaches(Lines{sent(0, "pay")} + once + cut + repeat_at(1700)) == 1);
 }
 
-TEST_CASE("the judge: attempts for a client that has left, and deadlines that are passed on too long") {
+TEST_CASE("soak checker: attempts after the client left and budgets beyond the deadline are reported") {
   const auto left = [](std::int64_t at) { return line(at, "left", {{"id", "a"}}); };
-  CHECK(breaches({sent(0), left(100), post(220, "decode-1-0", false)}) == 0);
-  CHECK(breaches({sent(0), left(100), post(240, "decode-1-0", false)}) == 1);
-  CHECK(breaches({sent(0), post(1000, "decode-1-0", false, 1, 1150), answer(1100)}) == 0);
-  CHECK(breaches({sent(0), post(1000, "decode-1-0", false, 1, 1190), answer(1100)}) == 1);
+  CHECK(breaches({sent(0), left(100), attempt_arrives(220, "decode-1-0", false)}) == 0);
+  CHECK(breaches({sent(0), left(100), attempt_arrives(240, "decode-1-0", false)}) == 1);
+  CHECK(breaches({sent(0), attempt_arrives(1000, "decode-1-0", false, 1, 1150), answer(1100)}) == 0);
+  CHECK(breaches({sent(0), attempt_arrives(1000, "decode-1-0", false, 1, 1190), answer(1100)}) == 1);
 }
 
-TEST_CASE("the judge: events that a router holds back, and those that a silent link does") {
+TEST_CASE(
+    "soak checker: stream events delayed by a router are reported, those delayed by a silent link are not") {
   const auto event = [](std::int64_t written, std::int64_t read) {
     return Lines{line(written, "event", {{"id", "a"}, {"worker", "decode-1-0"}, {"index", 0}}),
                  line(read, "event_read", {{"id", "a"}, {"index", 0}})};
@@ -150,18 +157,17 @@
   };
   CHECK(breaches(request + cut(90, 800) + event(100, 810)) == 0);
   CHECK(breaches(request + cut(300, 400) + event(100, 440)) == 1);
-  // The last event of a stream that nobody got is no earlier one of the next stream.
+  // Events of a stream that no client received are not counted as events of the next stream.
   const Lines lost{line(60, "event", {{"id", "a"}, {"worker", "decode-1-0"}, {"index", 0}}),
                    line(70, "event", {{"id", "a"}, {"worker", "decode-1-0"}, {"index", 1}})};
   CHECK(breaches(request + lost + event(900, 910) +
                  Lines{line(950, "event_read", {{"id", "a"}, {"index", 1}})}) == 0);
 }
 
-TEST_CASE(
-    "the judge: a drain is told 6 s after discovery had it and could be reached, whatever failed later") {
+TEST_CASE("soak checker: a drain counts 6 s after reachable discovery had it, whatever fails later") {
   const Line drain = line(1000, "draining", {{"worker", "decode-1-0"}});
   const auto late = [](std::int64_t at) {
-    return Lines{sent(at - 10), post(at, "decode-1-0", false), answer(at + 50)};
+    return Lines{sent(at - 10), attempt_arrives(at, "decode-1-0", false), answer(at + 50)};
   };
   CHECK(breaches(Lines{drain} + late(7500)) == 0);
   CHECK(breaches(Lines{drain} + late(7700)) == 1);
@@ -169,23 +175,21 @@
                           line(3000, "discovery_up", Line::object())};
   CHECK(breaches(silent_then + Lines{drain} + late(9400)) == 0);
   CHECK(breaches(silent_then + Lines{drain} + late(9700)) == 1);
-  // A silence that began later, and its end, move nothing.
+  // An outage of discovery that starts later has no effect.
   CHECK(breaches(Lines{drain, line(6000, "discovery_silent", Line::object()),
                        line(7650, "discovery_up", Line::object())} +
                  late(7700)) == 1);
 }
 
 TEST_CASE(
-    "the judge: a request whose router was killed as it was being sent is excused, one killed before is "
-    "not") {
+    "soak checker: a router killed while the request was being sent excuses it, one killed before does not") {
   const Line lost = line(400, "no_answer", {{"id", "a"}, {"how", "closed"}});
   const auto killed = [](std::int64_t at) { return line(at, "killed", {{"process", "r"}}); };
   CHECK(breaches({killed(-50), sent(0), lost}) == 0);
   CHECK(breaches({killed(-150), sent(0), lost}) == 1);
 }
 
-TEST_CASE(
-    "the judge: an event that its proxy still had as the links fell silent is not held back by the router") {
+TEST_CASE("soak checker: an event still in its proxy when links fall silent is not delayed by the router") {
   const auto event_written = [](std::int64_t at) {
     return line(at, "event", {{"id", "a"}, {"worker", "decode-1-0"}, {"index", 0}});
   };
@@ -196,20 +200,22 @@
   CHECK(breaches(Lines{sent(0), event_written(200), answer(1500), read} + silent) == 1);
 }
 
-// Guards against a request that is sent again elsewhere though its first router had read it.
-TEST_CASE("the judge: a request that crossed the end of its connection is lost where it was forwarded") {
+// Guards against a request that is resent elsewhere although its first router had read it.
+TEST_CASE("soak checker: a request that crossed the close of its connection must not have been forwarded") {
   const Line crossed = line(300, "crossed", {{"id", "a"}, {"how", "closed"}});
-  const Line forwarded = post(100, "decode-1-0", false);
+  const Line forwarded = attempt_arrives(100, "decode-1-0", false);
   const auto killed = [](std::int64_t at) { return line(at, "killed", {{"process", "r"}}); };
   CHECK(breaches({sent(0), crossed}) == 0);
   CHECK(breaches({sent(0), forwarded, crossed}) == 1);
-  CHECK(breaches({sent(0), forwarded, crossed, post(400, "decode-2-0", false)}) == 1);
+  CHECK(breaches({sent(0), forwarded, crossed, attempt_arrives(400, "decode-2-0", false)}) == 1);
   CHECK(breaches({sent(0), forwarded, killed(250), crossed}) == 0);
   CHECK(breaches({sent(0), forwarded, crossed, killed(500)}) == 1);
 }
 
-// Guards against a judge that asks for what nobody read, where idle clients fill the descriptors and connections make way.
-TEST_CASE("the judge: beside a crowd a new connection may be shut unread, and no request that was read") {
+// Guards against reporting unread requests as lost when idle clients use up the descriptors.
+TEST_CASE(
+    "soak checker: with idle clients a router may close a new connection unread, but no request it has "
+    "read") {
   const Lines crowd{line(-500, "crowd_came", Line::object()), line(5000, "crowd_gone", Line::object())};
   const auto shut = [](std::int64_t at, const char* how) {
     return line(at, "no_answer", {{"id", "a"}, {"how", how}});
@@ -217,16 +223,17 @@
   CHECK(breaches(crowd + Lines{sent(0), shut(170, "closed")}) == 0);
   CHECK(breaches(crowd + Lines{sent(0), shut(190, "closed")}) == 1);
   CHECK(breaches(crowd + Lines{sent(0), shut(170, "malformed")}) == 1);
-  CHECK(breaches(crowd + Lines{sent(0), post(50, "decode-1-0", false), shut(170, "closed")}) == 1);
+  CHECK(breaches(crowd + Lines{sent(0), attempt_arrives(50, "decode-1-0", false), shut(170, "closed")}) == 1);
   CHECK(breaches({sent(0), shut(170, "closed")}) == 1);
   CHECK(breaches(crowd + Lines{sent(6000), shut(6170, "closed")}) == 1);
-  // A later request on its connection: clients note that the end crossed it, and any other end loses it.
+  // For a later request on its connection clients record "crossed"; any other end without an answer loses it.
   Line later = sent(0);
   later["first"] = false;
   CHECK(breaches(crowd + Lines{later, shut(170, "closed")}) == 1);
 }
 
-TEST_CASE("the judge: a stream that SIGKILL cuts is lost where it was sent 0.7 s after SIGTERM or later") {
+TEST_CASE(
+    "soak checker: a stream cut by SIGKILL is reported if its request was sent over 0.7 s after SIGTERM") {
   const auto ended = [](std::int64_t term, std::int64_t kill) {
     return Lines{line(term, "terminated", {{"router", "r"}}), line(kill, "late_exit", {{"router", "r"}})};
   };
@@ -234,7 +241,7 @@
   CHECK(breaches(Lines{sent(1000), answer(1100), cut(3701)} + ended(200, 3700)) == 1);
   CHECK(breaches(Lines{sent(1000), answer(1100), cut(3701)} + ended(400, 3700)) == 0);
   CHECK(breaches(Lines{sent(1000), answer(1100), cut(2000)} + ended(200, 3700)) == 0);
-  // It ended by itself, and no kill had to come.
+  // The router exited by itself, without SIGKILL.
   CHECK(breaches({line(200, "terminated", {{"router", "r"}}), sent(1000), answer(1100), cut(3701)}) == 0);
 }
 
