--- a/rig/soak/clients.h
+++ b/rig/soak/clients.h
@@ -1,5 +1,5 @@
-// Clients of a soak: some keep their connections, some leave early, write slowly, rest, or send what cannot be read. What
-// each sent and got is recorded.
+// Clients of a soak: some keep their connections open, some leave before the answer, write slowly, pause
+// between requests or send malformed requests. What each one sends and receives is recorded.
 #pragma once
 
 #include <functional>
@@ -14,65 +14,67 @@
 
 namespace cressrill::rig::soak {
 
-// A router that takes new connections, as a front would deal them out.
-struct Door {
-  std::string router;
+// A router that accepts new connections, as a load balancer in front of the routers would choose it.
+struct RouterEndpoint {
+  std::string name;
   io::Address address;
 };
 
 class Clients {
  public:
-  // door: one of those that are open now; none where none is.
-  // longest_budget_ms: the longest deadline of any request.
+  // pick_router: returns a router that accepts connections now, or none if there is none.
+  // longest_budget_ms: the longest time budget of any request.
   Clients(io::Loop& loop, Recorder& record, std::uint64_t seed, int longest_budget_ms,
-          std::function<std::optional<Door>()> door);
-  // Runs so many side by side until told to stop; then those that are under way come to their ends.
+          std::function<std::optional<RouterEndpoint>()> pick_router);
+  // Runs that many concurrent clients until stop(). Requests that are in flight then still run to their end.
   void start(int clients);
   void stop() { stopping_ = true; }
-  // Opens so many more connections to a router that has been told to end, within the span in which its front still does;
-  // requests are sent on them for as long as they stay open.
-  void press(const Door& door, int connections, io::Nanos span);
+  // Opens further connections to a router that is shutting down, spread over `duration`, as a load balancer
+  // does until it notices the shutdown. Requests are sent on them for as long as they stay open.
+  void open_late_connections(const RouterEndpoint& router, int connections, io::Nanos duration);
   int running() const { return running_; }
-  // A worker answers: a client that was to leave then does so.
-  void cued(Cue cue, const std::string& id);
+  // Makes the client of this request leave, if it waits for this cue.
+  void on_cue(Cue cue, const std::string& id);
 
  private:
-  // How long a client waits, and whether it leaves then or so long after a cue.
+  // How long a client waits for its answer, and whether it leaves early.
   struct Departure {
-    bool leaves{};  // with a cue: once that has come
-    io::Nanos at{};
-    Cue cue{Cue::none};
-    io::Nanos after_cue{};
+    bool leaves{};          // else the client times out; with a cue, set once the cue has been received
+    io::Nanos at{};         // time at which the client leaves or times out
+    Cue cue{Cue::none};     // the client leaves after this cue
+    io::Nanos after_cue{};  // delay between the cue and leaving
   };
   struct CueWait {
     Departure& departure;
-    io::Signal came;
+    io::Signal received;
   };
 
   io::Task<> client();
   // How a client uses a connection.
-  struct Manner {
-    bool stays{};           // goes on until the router ends it
-    io::Nanos waits_for{};  // before its first request
+  struct ConnectionUse {
+    bool until_closed{};        // sends requests until the router closes the connection
+    io::Nanos initial_delay{};  // before the first request
   };
-  io::Task<> visit(std::optional<Door> door, Manner manner);
-  io::Task<> press_once(Door door, io::Nanos after, Manner manner);
-  io::Task<bool> ask(io::Socket& socket, http::MessageReader& reader, const Door& door, bool first);
+  io::Task<> use_connection(std::optional<RouterEndpoint> router, ConnectionUse use);
+  io::Task<> run_late_connection(RouterEndpoint router, io::Nanos delay, ConnectionUse use);
+  // `first_on_connection`: the request follows the connect at once, on a new connection.
+  io::Task<bool> send_request(io::Socket& socket, http::MessageReader& reader, const RouterEndpoint& router,
+                              bool first_on_connection);
   Departure draw_departure();
-  io::Task<std::optional<bool>> until_departure(const std::string& id, Departure& departure,
-                                                io::Task<bool> answer);
-  io::Task<bool> write(io::Socket& socket, std::string_view text, bool slowly);
-  io::Task<bool> read_answer(http::MessageReader& reader, const std::string& id, bool first);
-  io::Task<> disturb(io::Socket& socket, const Door& door);
-  std::string request(const std::string& id, const std::string& kind, int budget_ms);
-  int between(int from, int to) { return std::uniform_int_distribution<int>(from, to)(random_); }
+  io::Task<std::optional<bool>> wait_for_answer_or_leave(const std::string& id, Departure& departure,
+                                                         io::Task<bool> answer);
+  io::Task<bool> write(io::Socket& socket, std::string_view text, bool in_parts);
+  io::Task<bool> read_answer(http::MessageReader& reader, const std::string& id, bool first_on_connection);
+  io::Task<> send_malformed(io::Socket& socket, const RouterEndpoint& router);
+  std::string format_chat_request(const std::string& id, const std::string& kind, int budget_ms);
+  int random_int(int from, int to) { return std::uniform_int_distribution<int>(from, to)(random_); }
 
   io::Loop& loop_;
   Recorder& record_;
   std::mt19937_64 random_;
-  std::function<std::optional<Door>()> door_;
+  std::function<std::optional<RouterEndpoint>()> pick_router_;
   std::uint64_t next_id_{};
-  std::map<std::string, CueWait*> cue_waits_;  // by the id of the request
+  std::map<std::string, CueWait*> cue_waits_;  // by request id
   bool stopping_{};
   int running_{};
   int longest_budget_ms_;
--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -30,17 +30,17 @@
 
 namespace {
 
-constexpr io::Nanos kReadyWithin = 10 * kSecond;
-constexpr io::Nanos kKillAfterDeadline =
-    700 * kMs;  // SIGKILL comes the longest deadline and so long after SIGTERM
-constexpr std::size_t kAgents = 2;
+constexpr io::Nanos kReadyTimeout = 10 * kSecond;
+// SIGKILL follows SIGTERM after the longest deadline of any request and this time.
+constexpr io::Nanos kKillAfterDeadline = 700 * kMs;
+constexpr std::size_t kDiscoveryAgents = 2;
 constexpr int kClients = 24;
-constexpr int kPressing = 12;  // connections that clients open to a router that has been told to end
-constexpr int kIdleClients =
-    140;  // of a crowd, each router: more than the 115 that its descriptors leave for clients
-constexpr int kDescriptors = 256;
+constexpr int kLateConnections = 12;  // that clients open to a router after its SIGTERM
+// Idle clients of each router: more than the 115 that its descriptor limit leaves for clients.
+constexpr int kIdleClients = 140;
+constexpr int kMaxDescriptors = 256;  // of a router, open at a time
 
-// What differs from seed to seed.
+// Settings that are drawn for each seed.
 struct DrawnSettings {
   int pin_limit_ms{};
   int window_ms{};
@@ -48,7 +48,7 @@
   bool cancelling{};
   bool holds_allowed{};
   int longest_deadline_ms{};
-  bool crowd{};  // of idle clients
+  bool crowd{};  // whether idle clients use up the descriptors of each router
 };
 
 json settings(int routers, const DrawnSettings& drawn) {
@@ -74,15 +74,15 @@
   return out;
 }
 
-// A fault plan in a file that a router maps as well.
+// A fault plan in a file that a router process maps too, so that it can be changed while the router runs.
 class SharedPlan {
  public:
   explicit SharedPlan(std::string path) : path_(std::move(path)) {
-    const int descriptor = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (descriptor < 0 || ::ftruncate(descriptor, sizeof(FaultPlan)) != 0)
+    const int fd = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    if (fd < 0 || ::ftruncate(fd, sizeof(FaultPlan)) != 0)
       throw std::system_error(errno, std::generic_category(), path_);
-    void* memory = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
-    ::close(descriptor);
+    void* memory = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    ::close(fd);
     if (memory == MAP_FAILED) throw std::system_error(errno, std::generic_category(), path_);
     plan_ = static_cast<FaultPlan*>(memory);
   }
@@ -92,9 +92,9 @@
   FaultPlan* operator->() { return plan_; }
   const std::string& path() const { return path_; }
   std::uint64_t injected() const {
-    std::uint64_t sum = 0;
-    for (const CallFault& fault : plan_->calls) sum += fault.injected;
-    return sum;
+    std::uint64_t total = 0;
+    for (const CallFault& fault : plan_->calls) total += fault.injected;
+    return total;
   }
 
  private:
@@ -109,18 +109,18 @@
   std::unique_ptr<SharedPlan> plan;
   Process process;
   std::size_t agent{};
-  bool open{};  // clients are sent here
-  bool busy{};  // a trouble ends or starts it
+  bool open{};  // clients connect to it
+  bool busy{};  // a fault is stopping or starting it
 };
 
 struct Worker {
   std::string name;
   int generation{};
-  bool reads{};
+  bool is_prefill{};
   io::Address own, proxied;
   Process process, proxy;
-  bool busy{};
-  bool cut{};  // all its links are silent
+  bool busy{};          // a fault is stopping or replacing it
+  bool links_silent{};  // its proxy passes nothing, on any connection
 };
 
 class Conductor {
@@ -129,32 +129,35 @@
       : options_(options),
         random_(options.seed),
         record_(loop_, options.folder + "/conductor.jsonl"),
-        discovery_(loop_, kAgents),
-        drawn_(draw_settings()),
-        clients_(loop_, record_, options.seed + 1, drawn_.longest_deadline_ms,
-                 [this] { return open_door(); }),
-        cues_(loop_, [this](Cue cue, const std::string& id) { clients_.cued(cue, id); }),
+        discovery_(loop_, kDiscoveryAgents),
+        drawn_settings_(draw_settings()),
+        clients_(loop_, record_, options.seed + 1, drawn_settings_.longest_deadline_ms,
+                 [this] { return pick_open_router(); }),
+        cues_(loop_, [this](Cue cue, const std::string& id) { clients_.on_cue(cue, id); }),
         scope_(loop_) {
-    in_reach_ = static_cast<std::size_t>(between(0, options_.workers - 1));
-    record_.note("settings", {{"pin_limit_ms", drawn_.pin_limit_ms},
-                              {"window_ms", drawn_.window_ms},
-                              {"parallel_tries", drawn_.parallel_tries},
-                              {"cancelling", drawn_.cancelling},
-                              {"longest_deadline_ms", drawn_.longest_deadline_ms},
-                              {"crowd", drawn_.crowd}});
+    reachable_worker_ = static_cast<std::size_t>(random_int(0, options_.workers - 1));
+    record_.note("settings", {{"pin_limit_ms", drawn_settings_.pin_limit_ms},
+                              {"window_ms", drawn_settings_.window_ms},
+                              {"parallel_tries", drawn_settings_.parallel_tries},
+                              {"cancelling", drawn_settings_.cancelling},
+                              {"longest_deadline_ms", drawn_settings_.longest_deadline_ms},
+                              {"crowd", drawn_settings_.crowd}});
   }
 
   SoakResult run() {
     start_all();
-    bool over = false;
-    scope_.spawn(whole(over));
-    loop_.run_until([&] { return over; });
+    bool finished = false;
+    scope_.spawn(run_phases(finished));
+    loop_.run_until([&] { return finished; });
     scope_.cancel();
-    for (Router& r : routers_) result_.faults_injected += r.plan->injected();
-    for (Worker& w : workers_) w.process.kill(), w.proxy.kill();
-    for (Router& r : routers_) r.process.kill();
-    result_.judgement =
-        check(read_records(), {.held_for = drawn_.pin_limit_ms * kMs, .window = drawn_.window_ms * kMs});
+    for (Router& router : routers_) result_.faults_injected += router.plan->injected();
+    for (Worker& worker : workers_) {
+      worker.process.kill();
+      worker.proxy.kill();
+    }
+    for (Router& router : routers_) router.process.kill();
+    result_.judgement = check(read_records(), {.held_for = drawn_settings_.pin_limit_ms * kMs,
+                                               .window = drawn_settings_.window_ms * kMs});
     count_router_violations();
     return std::move(result_);
   }
@@ -163,17 +166,18 @@
   DrawnSettings draw_settings() {
     static constexpr int kPinLimits[] = {300, 500, 1000}, kLongestDeadlines[] = {1200, 2000, 3000};
     DrawnSettings out;
-    out.pin_limit_ms = kPinLimits[between(0, 2)];
-    out.window_ms = between(800, 2500);
-    out.parallel_tries = between(0, 3) > 0, out.cancelling = between(0, 3) > 0;
-    out.holds_allowed = between(0, 1) == 0;
-    out.longest_deadline_ms = kLongestDeadlines[between(0, 2)];
-    out.crowd = between(0, 2) == 0;
+    out.pin_limit_ms = kPinLimits[random_int(0, 2)];
+    out.window_ms = random_int(800, 2500);
+    out.parallel_tries = random_int(0, 3) > 0;
+    out.cancelling = random_int(0, 3) > 0;
+    out.holds_allowed = random_int(0, 1) == 0;
+    out.longest_deadline_ms = kLongestDeadlines[random_int(0, 2)];
+    out.crowd = random_int(0, 2) == 0;
     return out;
   }
-  int between(int from, int to) { return std::uniform_int_distribution<int>(from, to)(random_); }
-  io::Nanos span(int from_ms, int to_ms) { return between(from_ms, to_ms) * kMs; }
-  std::string in_folder(const std::string& name) const { return options_.folder + "/" + name; }
+  int random_int(int from, int to) { return std::uniform_int_distribution<int>(from, to)(random_); }
+  io::Nanos random_duration(int from_ms, int to_ms) { return random_int(from_ms, to_ms) * kMs; }
+  std::string path_in_folder(const std::string& name) const { return options_.folder + "/" + name; }
 
   io::Address free_address() {
     io::Listener port(loop_, {INADDR_LOOPBACK, 0});
@@ -182,38 +186,42 @@
 
   void start_all() {
     for (int i = 0; i < options_.workers; ++i) {
-      Worker& w = workers_.emplace_back();
-      w.reads = i < options_.workers / 2;
-      w.name = fmt::format("{}-{}", w.reads ? "prefill" : "decode", i);
-      w.own = free_address(), w.proxied = free_address();
-      start_worker(w);
-      w.proxy = Process({options_.soak_program, "proxy", "--listen", w.proxied.to_string(), "--target",
-                         w.own.to_string(), "--seed", std::to_string(random_() >> 1)},
-                        in_folder(w.name + "-proxy.log"));
-      list(w, "up", 0);
+      Worker& worker = workers_.emplace_back();
+      worker.is_prefill = i < options_.workers / 2;
+      worker.name = fmt::format("{}-{}", worker.is_prefill ? "prefill" : "decode", i);
+      worker.own = free_address();
+      worker.proxied = free_address();
+      start_worker(worker);
+      worker.proxy = Process({options_.soak_program, "proxy", "--listen", worker.proxied.to_string(),
+                              "--target", worker.own.to_string(), "--seed", std::to_string(random_() >> 1)},
+                             path_in_folder(worker.name + "-proxy.log"));
+      put_in_discovery(worker, "up", 0);
     }
     for (int i = 0; i < options_.routers; ++i) {
-      Router& r = routers_.emplace_back();
-      r.name = fmt::format("router-{}", i);
-      r.address = free_address();
-      r.config = in_folder(r.name + ".json");
-      r.plan = std::make_unique<SharedPlan>(in_folder(r.name + ".plan"));
-      scope_.spawn(start_router(r));
+      Router& router = routers_.emplace_back();
+      router.name = fmt::format("router-{}", i);
+      router.address = free_address();
+      router.config = path_in_folder(router.name + ".json");
+      router.plan = std::make_unique<SharedPlan>(path_in_folder(router.name + ".plan"));
+      scope_.spawn(start_router(router));
     }
   }
 
-  std::string id_of(const Worker& w) const { return fmt::format("{}-{}", w.name, w.generation); }
-  void start_worker(Worker& w) {
-    w.process = Process({options_.soak_program, "worker", "--name", id_of(w), "--listen", w.own.to_string(),
-                         "--record", in_folder(w.name + ".jsonl"), "--seed", std::to_string(random_() >> 1),
-                         "--cues", cues_.address().to_string(), w.reads ? "--prefill" : "--decode"},
-                        in_folder(w.name + ".log"));
+  std::string worker_id(const Worker& worker) const {
+    return fmt::format("{}-{}", worker.name, worker.generation);
+  }
+  void start_worker(Worker& worker) {
+    worker.process = Process(
+        {options_.soak_program, "worker", "--name", worker_id(worker), "--listen", worker.own.to_string(),
+         "--record", path_in_folder(worker.name + ".jsonl"), "--seed", std::to_string(random_() >> 1),
+         "--cues", cues_.address().to_string(), worker.is_prefill ? "--prefill" : "--decode"},
+        path_in_folder(worker.name + ".log"));
   }
-  void list(const Worker& w, const char* state, std::int64_t boot_ms) {
-    discovery_.put({{"uid", id_of(w)},
-                    {"endpoint", w.proxied.to_string()},
+  void put_in_discovery(const Worker& worker, const char* state, std::int64_t boot_ms) {
+    discovery_.put({{"uid", worker_id(worker)},
+                    {"endpoint", worker.proxied.to_string()},
                     {"az", "east"},
-                    {"model", w.reads ? "prefill" : "decode"},
+                    {"model", worker.is_prefill ? "prefill" : "decode"},
                     {"pod_group", 3},
                     {"state", state},
                     {"capacity_hint", 1.0},
@@ -225,117 +233,121 @@
     return t.tv_sec * 1000 + t.tv_nsec / 1'000'000;
   }
 
-  std::string config_of(const Router& r) const {
-    return json{{"name", r.name},
-                {"listen", r.address.to_string()},
-                {"discovery", discovery_.address(r.agent).to_string()},
-                {"seed", fmt::format("{:x}", options_.seed + r.address.port)},
-                {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", kDescriptors}}},
-                {"settings", settings(options_.routers, drawn_)}}
+  std::string config_text(const Router& router) const {
+    return json{{"name", router.name},
+                {"listen", router.address.to_string()},
+                {"discovery", discovery_.address(router.agent).to_string()},
+                {"seed", fmt::format("{:x}", options_.seed + router.address.port)},
+                {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", kMaxDescriptors}}},
+                {"settings", settings(options_.routers, drawn_settings_)}}
         .dump();
   }
   static void write_file(const std::string& path, std::string_view text) {
     std::ofstream(path, std::ios::trunc) << text;
   }
 
-  // Until it answers that it is ready.
-  io::Task<> start_router(Router& r) {
-    write_file(r.config, config_of(r));
-    ::setenv("EDGE_CONFIG", r.config.c_str(), 1);
+  // Starts a router and waits until it reports that it is ready.
+  io::Task<> start_router(Router& router) {
+    write_file(router.config, config_text(router));
+    ::setenv("EDGE_CONFIG", router.config.c_str(), 1);
     ::setenv("LD_PRELOAD", options_.shim.c_str(), 1);
-    ::setenv(kFaultPlanVariable, r.plan->path().c_str(), 1);
-    r.process =
-        Process({options_.router_program, "--platform", "--log-level", "info"}, in_folder(r.name + ".log"));
+    ::setenv(kFaultPlanVariable, router.plan->path().c_str(), 1);
+    router.process = Process({options_.router_program, "--platform", "--log-level", "info"},
+                             path_in_folder(router.name + ".log"));
     ::unsetenv("LD_PRELOAD");
-    const io::Nanos began = loop_.now();
-    while (!r.open) {
-      auto pool = std::make_shared<http::Pool>(loop_, r.address);
-      const auto got =
+    const io::Nanos started_at = loop_.now();
+    while (!router.open) {
+      auto pool = std::make_shared<http::Pool>(loop_, router.address);
+      const auto response =
           co_await io::with_deadline(loop_, loop_.now() + 500 * kMs,
                                      http::exchange(pool, http::format_request("GET", "/up", "h", "", "")));
-      r.open = got && got->head.status == 200;
-      if (!r.open) co_await loop_.sleep_for(20 * kMs);
-      if (!r.process.running()) {
-        breach(fmt::format("{} ended by itself as it started: {}", r.name, r.process.status()));
+      router.open = response && response->head.status == 200;
+      if (!router.open) co_await loop_.sleep_for(20 * kMs);
+      if (!router.process.running()) {
+        record_breach(fmt::format("{} exited during its start: {}", router.name, router.process.status()));
         co_return;
       }
-      if (loop_.now() - began > kReadyWithin) {
-        breach(fmt::format("{} is not ready after 10 s", r.name));
+      if (loop_.now() - started_at > kReadyTimeout) {
+        record_breach(fmt::format("{} is not ready after 10 s", router.name));
         co_return;
       }
     }
   }
 
-  void breach(const std::string& what) { record_.note("breach", {{"what", what}}); }
+  void record_breach(const std::string& what) { record_.note("breach", {{"what", what}}); }
 
-  std::optional<Door> open_door() {
+  std::optional<RouterEndpoint> pick_open_router() {
     std::vector<const Router*> open;
-    for (const Router& r : routers_)
-      if (r.open) open.push_back(&r);
+    for (const Router& router : routers_)
+      if (router.open) open.push_back(&router);
     if (open.empty()) return std::nullopt;
-    const Router& r = *open[static_cast<std::size_t>(between(0, static_cast<int>(open.size()) - 1))];
-    return Door{r.name, r.address};
+    const Router& router = *open[static_cast<std::size_t>(random_int(0, static_cast<int>(open.size()) - 1))];
+    return RouterEndpoint{router.name, router.address};
   }
 
-  io::Task<> whole(bool& over) {
+  // Waits for the routers, runs clients and faults, lets requests and releases finish, and ends the routers.
+  io::Task<> run_phases(bool& finished) {
     while (!std::ranges::all_of(routers_, &Router::open)) co_await loop_.sleep_for(50 * kMs);
     clients_.start(kClients);
-    scope_.spawn(look_at_routers());
-    if (drawn_.crowd) gather_crowd();
+    scope_.spawn(monitor_routers());
+    if (drawn_settings_.crowd) connect_idle_clients();
     const io::Nanos until = loop_.now() + options_.length;
-    io::Scope troubles(loop_);
-    troubles.spawn(interrupt_reads());  // so that no play goes without a call that fails
+    io::Scope faults(loop_);
+    faults.spawn(interrupt_receives());  // so that every run has a failing call
     while (loop_.now() < until) {
-      co_await loop_.sleep_for(span(100, 700));
+      co_await loop_.sleep_for(random_duration(100, 700));
       ++result_.troubles;
-      troubles.spawn(trouble());
+      faults.spawn(start_random_fault());
     }
-    while (!troubles.empty()) co_await loop_.sleep_for(20 * kMs);
-    if (!crowds_.empty()) record_.note("crowd_gone", Recorder::Line::object());
-    crowds_.clear();
+    while (!faults.empty()) co_await loop_.sleep_for(20 * kMs);
+    if (!idle_crowds_.empty()) record_.note("crowd_gone", Recorder::Line::object());
+    idle_crowds_.clear();
     clients_.stop();
     while (clients_.running() > 0) co_await loop_.sleep_for(20 * kMs);
-    co_await loop_.sleep_for(2 * kSecond);  // for what is still held
-    for (Router& r : routers_) co_await end_router(r, true);
-    over = true;
+    co_await loop_.sleep_for(2 * kSecond);  // KV cache that is still held must be released within this time
+    for (Router& router : routers_) co_await end_router(router, true);
+    finished = true;
   }
 
-  void gather_crowd() {
+  void connect_idle_clients() {
     record_.note("crowd_came", Recorder::Line::object());
-    for (const Router& r : routers_) {
-      const auto address = [&r] { return r.open ? std::optional(r.address) : std::nullopt; };
-      crowds_.push_back(std::make_unique<IdleCrowd>(loop_, random_(), kIdleClients, address));
+    for (const Router& router : routers_) {
+      const auto address = [&router] { return router.open ? std::optional(router.address) : std::nullopt; };
+      idle_crowds_.push_back(std::make_unique<IdleCrowd>(loop_, random_(), kIdleClients, address));
     }
   }
 
-  // Descriptors and memory, and whether all that should run does.
-  io::Task<> look_at_routers() {
+  // Checks that each router runs and stays within its descriptor limit. Measures descriptors and memory.
+  io::Task<> monitor_routers() {
     for (;;) {
       co_await loop_.sleep_for(200 * kMs);
-      for (Router& r : routers_) {
-        if (!r.open || r.busy) continue;
-        if (!r.process.running()) {
-          breach(fmt::format("{} ended by itself: {}", r.name, r.process.status()));
-          r.open = false;
+      for (Router& router : routers_) {
+        if (!router.open || router.busy) continue;
+        if (!router.process.running()) {
+          record_breach(fmt::format("{} exited unexpectedly: {}", router.name, router.process.status()));
+          router.open = false;
           continue;
         }
         std::error_code error;
-        const auto folder = files::directory_iterator(fmt::format("/proc/{}/fd", r.process.pid()), error);
+        const auto fd_folder =
+            files::directory_iterator(fmt::format("/proc/{}/fd", router.process.pid()), error);
         if (error) continue;
-        const auto descriptors = static_cast<std::size_t>(std::distance(begin(folder), end(folder)));
-        if (descriptors > kDescriptors) breach(fmt::format("{} holds {} descriptors", r.name, descriptors));
+        const auto descriptors = static_cast<std::size_t>(std::distance(begin(fd_folder), end(fd_folder)));
+        if (descriptors > kMaxDescriptors)
+          record_breach(fmt::format("{} has {} descriptors open", router.name, descriptors));
         result_.most_descriptors = std::max(result_.most_descriptors, descriptors);
-        std::ifstream pages(fmt::format("/proc/{}/statm", r.process.pid()));
-        std::size_t all = 0, resident = 0;
-        if (pages >> all >> resident) result_.most_memory_kb = std::max(result_.most_memory_kb, resident * 4);
+        std::ifstream memory_file(fmt::format("/proc/{}/statm", router.process.pid()));
+        std::size_t total_pages = 0, resident_pages = 0;
+        if (memory_file >> total_pages >> resident_pages)
+          result_.most_memory_kb = std::max(result_.most_memory_kb, resident_pages * 4);
       }
     }
   }
 
-  // Troubles: each begins one thing and ends it.
+  // Faults: each task starts one fault and ends it.
 
-  io::Task<> trouble() {
-    switch (between(0, 15)) {
+  io::Task<> start_random_fault() {
+    switch (random_int(0, 15)) {
       case 0:
       case 1:
       case 2:
@@ -343,9 +355,9 @@
       case 3:
         return step_clock();
       case 4:
-        return hold_up_router();
+        return suspend_router();
       case 5:
-        return move_discovery();
+        return reload_router();
       case 6:
       case 7:
         return restart_router();
@@ -366,14 +378,14 @@
     }
   }
 
-  Router& any_router() { return routers_[static_cast<std::size_t>(between(0, options_.routers - 1))]; }
-  // Any but the one that stays in reach: with no worker in reach nothing can be released, whatever a router does.
+  Router& any_router() { return routers_[static_cast<std::size_t>(random_int(0, options_.routers - 1))]; }
+  // Any worker but the one that stays reachable: without a reachable worker no router can release anything.
   Worker& any_worker() {
-    const std::size_t drawn = static_cast<std::size_t>(between(0, options_.workers - 2));
-    return workers_[drawn + (drawn >= in_reach_)];
+    const std::size_t index = static_cast<std::size_t>(random_int(0, options_.workers - 2));
+    return workers_[index + (index >= reachable_worker_)];
   }
 
-  // A call that always fails does so for a moment; one that fails at times may do so for seconds.
+  // Makes a system call fail: always for at most 250 ms, or once in every two to four calls for up to 2 s.
   io::Task<> fail_call() {
     struct Choice {
       FaultyCall call;
@@ -411,19 +423,19 @@
                                           {FaultyCall::write, EIO},
                                           {FaultyCall::read, EIO}};
     const Choice& choice =
-        kChoices[static_cast<std::size_t>(between(0, static_cast<int>(std::size(kChoices)) - 1))];
+        kChoices[static_cast<std::size_t>(random_int(0, static_cast<int>(std::size(kChoices)) - 1))];
     CallFault& fault = (*any_router().plan)->of(choice.call);
-    const auto one_in = static_cast<std::uint32_t>(between(1, 4));
+    const auto one_in = static_cast<std::uint32_t>(random_int(1, 4));
     record_.note(
         "trouble",
         {{"what", "call"}, {"call", word(choice.call)}, {"errno", choice.error}, {"one_in", one_in}});
     fault.one_in = one_in;
     fault.error = choice.error;
-    co_await loop_.sleep_for(one_in == 1 ? span(50, 250) : span(200, 2000));
+    co_await loop_.sleep_for(one_in == 1 ? random_duration(50, 250) : random_duration(200, 2000));
     fault.error = 0;
   }
 
-  io::Task<> interrupt_reads() {
+  io::Task<> interrupt_receives() {
     CallFault& fault = (*routers_.front().plan)->of(FaultyCall::receive);
     fault.one_in = 2;
     fault.error = EINTR;
@@ -432,165 +444,178 @@
   }
 
   io::Task<> shorten_transfers() {
-    const FaultyCall call = between(0, 1) == 0 ? FaultyCall::receive : FaultyCall::send;
+    const FaultyCall call = random_int(0, 1) == 0 ? FaultyCall::receive : FaultyCall::send;
     CallFault& fault = (*any_router().plan)->of(call);
     record_.note("trouble", {{"what", "short transfers"}, {"call", word(call)}});
-    fault.most_bytes = static_cast<std::uint32_t>(between(20, 2000));
-    co_await loop_.sleep_for(span(200, 2000));
+    fault.most_bytes = static_cast<std::uint32_t>(random_int(20, 2000));
+    co_await loop_.sleep_for(random_duration(200, 2000));
     fault.most_bytes = 0;
   }
 
   io::Task<> step_clock() {
     static constexpr io::Nanos kSteps[] = {3600 * kSecond, -3600 * kSecond, 3 * kSecond, -3 * kSecond, 0};
-    const io::Nanos step = kSteps[between(0, 4)];
+    const io::Nanos step = kSteps[random_int(0, 4)];
     record_.note("trouble", {{"what", "wall clock"}, {"by_s", step / kSecond}});
     (*any_router().plan)->wall_clock_offset = step;
     co_return;
   }
 
-  io::Task<> hold_up_router() {
-    Router& r = any_router();
-    if (r.busy || !r.process.running()) co_return;
-    const io::Nanos span_held = span(20, 140);
-    ::kill(r.process.pid(), SIGSTOP);
-    record_.note("trouble", {{"what", "router held up"}, {"router", r.name}, {"ms", span_held / kMs}});
-    const int pid = r.process.pid();
-    co_await loop_.sleep_for(span_held);
+  io::Task<> suspend_router() {
+    Router& router = any_router();
+    if (router.busy || !router.process.running()) co_return;
+    const io::Nanos suspended_for = random_duration(20, 140);
+    ::kill(router.process.pid(), SIGSTOP);
+    record_.note("trouble",
+                 {{"what", "router held up"}, {"router", router.name}, {"ms", suspended_for / kMs}});
+    const int pid = router.process.pid();
+    co_await loop_.sleep_for(suspended_for);
     ::kill(pid, SIGCONT);
   }
 
-  io::Task<> move_discovery() {
-    Router& r = any_router();
-    if (r.busy || !r.open) co_return;
-    r.agent = (r.agent + 1) % kAgents;
-    const std::string text = config_of(r);
-    const bool in_halves = between(0, 1) == 0;
-    record_.note("trouble", {{"what", "reload"}, {"router", r.name}, {"in_halves", in_halves}});
-    write_file(r.config, std::string_view(text).substr(0, in_halves ? text.size() / 2 : text.size()));
-    if (r.process.running()) ::kill(r.process.pid(), SIGHUP);
-    co_await loop_.sleep_for(span(50, 600));
-    write_file(r.config, text);
+  // Moves a router to another discovery agent by SIGHUP. At times the file is only half written when it
+  // reloads.
+  io::Task<> reload_router() {
+    Router& router = any_router();
+    if (router.busy || !router.open) co_return;
+    router.agent = (router.agent + 1) % kDiscoveryAgents;
+    const std::string text = config_text(router);
+    const bool in_halves = random_int(0, 1) == 0;
+    record_.note("trouble", {{"what", "reload"}, {"router", router.name}, {"in_halves", in_halves}});
+    write_file(router.config, std::string_view(text).substr(0, in_halves ? text.size() / 2 : text.size()));
+    if (router.process.running()) ::kill(router.process.pid(), SIGHUP);
+    co_await loop_.sleep_for(random_duration(50, 600));
+    write_file(router.config, text);
   }
 
   io::Task<> restart_router() {
-    Router& r = any_router();
-    if (r.busy || !r.open) co_return;
-    r.busy = true;
-    const bool planned = between(0, 3) > 0;
-    record_.note("trouble", {{"what", planned ? "restart" : "crash"}, {"router", r.name}});
-    co_await end_router(r, planned);
-    co_await start_router(r);
-    r.busy = false;
-  }
-
-  io::Task<> end_router(Router& r, bool planned) {
-    if (!planned) {
-      record_.note("killed", {{"process", r.name}});
-      r.process.kill();
-      r.open = false;
+    Router& router = any_router();
+    if (router.busy || !router.open) co_return;
+    router.busy = true;
+    const bool is_graceful = random_int(0, 3) > 0;
+    record_.note("trouble", {{"what", is_graceful ? "restart" : "crash"}, {"router", router.name}});
+    co_await end_router(router, is_graceful);
+    co_await start_router(router);
+    router.busy = false;
+  }
+
+  io::Task<> end_router(Router& router, bool is_graceful) {
+    if (!is_graceful) {
+      record_.note("killed", {{"process", router.name}});
+      router.process.kill();
+      router.open = false;
       co_return;
     }
-    const bool in_series = between(0, 2) == 0;
-    if (in_series) ::kill(r.process.pid(), SIGHUP), ::kill(r.process.pid(), SIGHUP);
-    r.process.terminate();
-    record_.note("terminated", {{"router", r.name}});
-    if (in_series) ::kill(r.process.pid(), SIGUSR1), r.process.terminate();
-    const io::Nanos began = loop_.now();
-    const io::Nanos kill_after = drawn_.longest_deadline_ms * kMs + kKillAfterDeadline;
-    const io::Nanos front_notices = span(200, 400);
-    clients_.press({r.name, r.address}, kPressing, front_notices);
-    co_await loop_.sleep_for(front_notices);
-    r.open = false;
-    while (r.process.running() && loop_.now() - began < kill_after) co_await loop_.sleep_for(10 * kMs);
-    if (r.process.running()) {
-      record_.note("late_exit", {{"router", r.name}});
-      r.process.kill();
-    } else if (r.process.status() != 0) {
-      breach(fmt::format("{} ended with {}", r.name, r.process.status()));
+    const bool sends_signal_series = random_int(0, 2) == 0;
+    if (sends_signal_series) {
+      ::kill(router.process.pid(), SIGHUP);
+      ::kill(router.process.pid(), SIGHUP);
+    }
+    router.process.terminate();
+    record_.note("terminated", {{"router", router.name}});
+    if (sends_signal_series) {
+      ::kill(router.process.pid(), SIGUSR1);
+      router.process.terminate();
+    }
+    const io::Nanos started_at = loop_.now();
+    const io::Nanos kill_after = drawn_settings_.longest_deadline_ms * kMs + kKillAfterDeadline;
+    const io::Nanos new_connections_for = random_duration(200, 400);
+    clients_.open_late_connections({router.name, router.address}, kLateConnections, new_connections_for);
+    co_await loop_.sleep_for(new_connections_for);
+    router.open = false;
+    while (router.process.running() && loop_.now() - started_at < kill_after)
+      co_await loop_.sleep_for(10 * kMs);
+    if (router.process.running()) {
+      record_.note("late_exit", {{"router", router.name}});
+      router.process.kill();
+    } else if (router.process.status() != 0) {
+      record_breach(fmt::format("{} ended with {}", router.name, router.process.status()));
     }
   }
 
   io::Task<> silence_discovery() {
-    if (std::exchange(silent_, true)) co_return;
+    if (std::exchange(discovery_is_silent_, true)) co_return;
     record_.note("trouble", {{"what", "discovery silent"}});
     record_.note("discovery_silent", Recorder::Line::object());
     discovery_.silence(true);
-    co_await loop_.sleep_for(span(500, 6000));
+    co_await loop_.sleep_for(random_duration(500, 6000));
     discovery_.silence(false);
     record_.note("discovery_up", Recorder::Line::object());
-    silent_ = false;
+    discovery_is_silent_ = false;
   }
 
   io::Task<> hang_worker() {
-    Worker& w = any_worker();
-    if (std::exchange(w.busy, true)) co_return;
-    const io::Nanos hung_for = span(200, 3000);
-    record_.note("stopped", {{"process", id_of(w)}, {"for", hung_for}});
-    ::kill(w.process.pid(), SIGSTOP);
-    co_await loop_.sleep_for(hung_for);
-    ::kill(w.process.pid(), SIGCONT);
-    w.busy = false;
-  }
-
-  // Links fall silent with no error, of one worker, of one role, or of most: the connections that are open, for good, or all
-  // of them until they pass again.
+    Worker& worker = any_worker();
+    if (std::exchange(worker.busy, true)) co_return;
+    const io::Nanos stopped_for = random_duration(200, 3000);
+    record_.note("stopped", {{"process", worker_id(worker)}, {"for", stopped_for}});
+    ::kill(worker.process.pid(), SIGSTOP);
+    co_await loop_.sleep_for(stopped_for);
+    ::kill(worker.process.pid(), SIGCONT);
+    worker.busy = false;
+  }
+
+  // Silences links, without an error, of one worker, of the workers of one role, or of most workers. Either
+  // the open connections fall silent for good, or all connections do until they pass again.
   io::Task<> silence_links() {
-    const bool for_good = between(0, 1) == 0;
-    const int scope = between(0, 2);
-    const bool reads = between(0, 1) == 0;
-    std::vector<std::size_t> cut;
+    const bool for_good = random_int(0, 1) == 0;
+    const int extent = random_int(0, 2);
+    const bool prefill_workers = random_int(0, 1) == 0;
+    std::vector<std::size_t> chosen;
     for (std::size_t i = 0; i < workers_.size(); ++i) {
-      if (i == in_reach_ || workers_[i].cut) continue;
-      if (scope == 0 && !cut.empty()) continue;
-      if (scope == 1 && workers_[i].reads != reads) continue;
-      if (scope == 2 && between(0, 3) == 0) continue;
-      cut.push_back(i);
+      if (i == reachable_worker_ || workers_[i].links_silent) continue;
+      if (extent == 0 && !chosen.empty()) continue;
+      if (extent == 1 && workers_[i].is_prefill != prefill_workers) continue;
+      if (extent == 2 && random_int(0, 3) == 0) continue;
+      chosen.push_back(i);
     }
-    record_.note("trouble", {{"what", "silent links"}, {"workers", cut.size()}, {"for_good", for_good}});
-    for (const std::size_t i : cut) {
-      Worker& w = workers_[i];
-      if (!for_good) w.cut = true, record_.note("links_cut", {{"worker", w.name}});
-      ::kill(w.proxy.pid(), for_good ? SIGUSR1 : SIGUSR2);
+    record_.note("trouble", {{"what", "silent links"}, {"workers", chosen.size()}, {"for_good", for_good}});
+    for (const std::size_t i : chosen) {
+      Worker& worker = workers_[i];
+      if (!for_good) {
+        worker.links_silent = true;
+        record_.note("links_cut", {{"worker", worker.name}});
+      }
+      ::kill(worker.proxy.pid(), for_good ? SIGUSR1 : SIGUSR2);
     }
     if (for_good) co_return;
-    co_await loop_.sleep_for(span(200, 2500));
-    for (const std::size_t i : cut) {
+    co_await loop_.sleep_for(random_duration(200, 2500));
+    for (const std::size_t i : chosen) {
       ::kill(workers_[i].proxy.pid(), SIGHUP);
-      workers_[i].cut = false;
+      workers_[i].links_silent = false;
       record_.note("links_pass", {{"worker", workers_[i].name}});
     }
   }
 
-  // It dies, and one under another id takes its place.
+  // Kills a worker and starts one with another id in its place.
   io::Task<> replace_worker() {
-    Worker& w = any_worker();
-    if (std::exchange(w.busy, true)) co_return;
-    record_.note("killed", {{"process", id_of(w)}});
-    w.process.kill();
-    co_await loop_.sleep_for(span(100, 1500));
-    list(w, "removed", 0);
-    ++w.generation;
-    start_worker(w);
-    co_await loop_.sleep_for(span(50, 500));
-    list(w, "up", unix_ms());
-    w.busy = false;
+    Worker& worker = any_worker();
+    if (std::exchange(worker.busy, true)) co_return;
+    record_.note("killed", {{"process", worker_id(worker)}});
+    worker.process.kill();
+    co_await loop_.sleep_for(random_duration(100, 1500));
+    put_in_discovery(worker, "removed", 0);
+    ++worker.generation;
+    start_worker(worker);
+    co_await loop_.sleep_for(random_duration(50, 500));
+    put_in_discovery(worker, "up", unix_ms());
+    worker.busy = false;
   }
 
   io::Task<> drain_worker() {
-    Worker& w = any_worker();
-    if (std::exchange(w.busy, true)) co_return;
-    list(w, "draining", 0);
-    record_.note("draining", {{"worker", id_of(w)}});
-    co_await loop_.sleep_for(span(7000, 9000));
-    list(w, "removed", 0);
-    w.process.kill();
-    ++w.generation;
-    start_worker(w);
-    list(w, "up", unix_ms());
-    w.busy = false;
+    Worker& worker = any_worker();
+    if (std::exchange(worker.busy, true)) co_return;
+    put_in_discovery(worker, "draining", 0);
+    record_.note("draining", {{"worker", worker_id(worker)}});
+    co_await loop_.sleep_for(random_duration(7000, 9000));
+    put_in_discovery(worker, "removed", 0);
+    worker.process.kill();
+    ++worker.generation;
+    start_worker(worker);
+    put_in_discovery(worker, "up", unix_ms());
+    worker.busy = false;
   }
 
-  // The end.
+  // Evaluation.
 
   std::vector<Recorder::Line> read_records() const {
     std::vector<Recorder::Line> out;
@@ -598,7 +623,8 @@
       if (entry.path().extension() != ".jsonl") continue;
       std::ifstream file(entry.path());
       for (std::string line; std::getline(file, line);) {
-        auto parsed = Recorder::Line::parse(line, nullptr, false);  // a killed process may leave half a line
+        // A killed process may leave an incomplete line.
+        auto parsed = Recorder::Line::parse(line, nullptr, false);
         if (parsed.is_object()) out.push_back(std::move(parsed));
       }
     }
@@ -606,12 +632,12 @@
   }
 
   void count_router_violations() {
-    for (const Router& r : routers_) {
-      std::ifstream log(in_folder(r.name + ".log"));
+    for (const Router& router : routers_) {
+      std::ifstream log(path_in_folder(router.name + ".log"));
       for (std::string line; std::getline(log, line);) {
         if (line.find("\"event\":\"invariant violated\"") == std::string::npos) continue;
         ++result_.router_violations;
-        result_.judgement.breaches.push_back(r.name + " counted itself: " + line);
+        result_.judgement.breaches.push_back(router.name + " logged an invariant violation: " + line);
       }
     }
   }
@@ -623,12 +649,12 @@
   Discovery discovery_;
   std::deque<Router> routers_;
   std::deque<Worker> workers_;
-  DrawnSettings drawn_;
+  DrawnSettings drawn_settings_;
   Clients clients_;
   CueReceiver cues_;
-  std::vector<std::unique_ptr<IdleCrowd>> crowds_;  // one a router, in seeds that have them
-  bool silent_{};
-  std::size_t in_reach_{};  // this worker runs, and its links pass, from beginning to end
+  std::vector<std::unique_ptr<IdleCrowd>> idle_crowds_;  // one for each router, in seeds that draw them
+  bool discovery_is_silent_{};
+  std::size_t reachable_worker_{};  // index of the worker that keeps running and whose links always pass
   SoakResult result_;
   io::Scope scope_;
 };
--- a/rig/soak/conductor.h
+++ b/rig/soak/conductor.h
@@ -1,6 +1,7 @@
-// Runs a randomized fault soak: real processes of the router, of workers and of proxies on loopback; clients of all manners;
-// and troubles that overlap in time (signals, reloads, restarts, stopped and killed processes, calls that fail, a wall
-// clock that is stepped, discovery that is silent). All that is drawn comes from one seed.
+// Runs a randomized fault soak on loopback: real processes of the router, of workers and of proxies, clients
+// that behave in different ways, and faults that overlap in time (signals, reloads, restarts, stopped and
+// killed processes, failing system calls, steps of the wall clock, silent links, an unresponsive discovery).
+// All random choices derive from one seed.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +14,26 @@
 
 struct SoakOptions {
   std::uint64_t seed{};
-  io::Nanos length{};
+  io::Nanos length{};  // how long new faults are started
   int routers = 4;
-  int workers = 8;  // the first half prefills, the others decode; each behind a proxy of its own
-  std::string folder;
+  int workers = 8;  // the first half are prefill workers, the others decode workers; each has its own proxy
+  std::string folder;  // for records and logs
   std::string router_program;
-  std::string soak_program;  // with its subcommands for workers and proxies
-  std::string shim;          // shared library of the fault shim
+  std::string soak_program;  // cressrill-soak, which has subcommands for workers and proxies
+  std::string shim;          // path of the fault shim's shared library
 };
 
 struct SoakResult {
   Judgement judgement;
-  std::uint64_t faults_injected{};    // calls that were made to fail
-  std::size_t troubles{};             // that were begun
-  std::size_t most_descriptors{};     // of any router
-  std::size_t most_memory_kb{};       // resident, of any router
-  std::uint64_t router_violations{};  // that routers counted themselves
+  std::uint64_t faults_injected{};    // system calls that the fault shim changed
+  std::size_t troubles{};             // faults started
+  std::size_t most_descriptors{};     // the most that any router had open
+  std::size_t most_memory_kb{};       // the largest resident memory of any router
+  std::uint64_t router_violations{};  // invariant violations that routers logged themselves
 };
 
+// Runs one soak and checks its records. Throws std::system_error or std::filesystem::filesystem_error if the
+// soak cannot be set up.
 SoakResult run_soak(const SoakOptions& options);
 
 }  // namespace cressrill::rig::soak
