--- a/rig/soak/proxy.cpp
+++ b/rig/soak/proxy.cpp
@@ -9,7 +9,7 @@
       target_(target),
       random_(seed),
       listener_(loop, listen),
-      passes_again_(loop),
+      links_pass_(loop),
       connections_(loop) {
   connections_.spawn(accept());
 }
@@ -18,23 +18,23 @@
   for (;;) {
     io::Socket client = co_await listener_.accept();
     if (!client.is_open()) co_return;
-    connections_.spawn(carry(std::move(client), ++accepted_));
+    connections_.spawn(relay_connection(std::move(client), ++accepted_));
   }
 }
 
-Proxy::Trouble Proxy::draw() {
+Proxy::Fault Proxy::draw_fault() {
   switch (std::uniform_int_distribution<int>(0, 39)(random_)) {
     case 0:
-      return Trouble::late;
+      return Fault::delayed;
     case 1:
-      return Trouble::broken;
+      return Fault::reset;
     case 2:
     case 3:
-      return Trouble::pieces;
+      return Fault::fragmented;
     case 4:
-      return Trouble::swallowed;
+      return Fault::ignored;
     default:
-      return Trouble::none;
+      return Fault::none;
   }
 }
 
@@ -45,17 +45,17 @@
 
 void Proxy::silence_all(bool silent) {
   all_silent_ = silent;
-  if (!silent) passes_again_.notify();
+  if (!silent) links_pass_.notify();
 }
 
-bool Proxy::passes(std::uint64_t number, bool towards_worker) const {
-  if (all_silent_ || number <= silent_up_to_) return false;
-  return towards_worker || number > answers_silent_up_to_;
+bool Proxy::may_relay(std::uint64_t connection_number, bool towards_worker) const {
+  if (all_silent_ || connection_number <= silent_up_to_) return false;
+  return towards_worker || connection_number > answers_silent_up_to_;
 }
 
-io::Task<> Proxy::carry(io::Socket client, std::uint64_t number) {
-  const Trouble trouble = draw();
-  if (trouble == Trouble::swallowed) {
+io::Task<> Proxy::relay_connection(io::Socket client, std::uint64_t connection_number) {
+  const Fault fault = draw_fault();
+  if (fault == Fault::ignored) {
     co_await client.wait_for_peer_close();
     co_return;
   }
@@ -64,33 +64,34 @@
     client.close(true);
     co_return;
   }
-  std::size_t up_left = SIZE_MAX;
-  std::size_t down_left = trouble == Trouble::broken ? 150 + random_() % 1500 : SIZE_MAX;
-  const std::size_t most_bytes = trouble == Trouble::pieces ? 23 : 16 * 1024;
-  io::Signal over(loop_);
+  std::size_t request_bytes_left = SIZE_MAX;
+  std::size_t answer_bytes_left = fault == Fault::reset ? 150 + random_() % 1500 : SIZE_MAX;
+  const std::size_t max_bytes = fault == Fault::fragmented ? 23 : 16 * 1024;
+  io::Signal ended(loop_);
   io::Scope both(loop_);
-  both.spawn(pass(client, worker, 16 * 1024, up_left, over, number, true));
-  // Requests are never held up: the checker takes their arrival at the worker for the router's doing.
-  if (trouble == Trouble::late) co_await loop_.sleep_for(200 * io::kMs);
-  both.spawn(pass(worker, client, most_bytes, down_left, over, number, false));
-  co_await over.wait();
+  both.spawn(relay(client, worker, 16 * 1024, request_bytes_left, ended, connection_number, true));
+  // Requests are never delayed, as the checker attributes the time of their arrival at the worker to the
+  // router.
+  if (fault == Fault::delayed) co_await loop_.sleep_for(200 * io::kMs);
+  both.spawn(relay(worker, client, max_bytes, answer_bytes_left, ended, connection_number, false));
+  co_await ended.wait();
   both.cancel();
-  const bool broken = trouble == Trouble::broken;
-  worker.close(broken), client.close(broken);
+  const bool reset = fault == Fault::reset;
+  worker.close(reset);
+  client.close(reset);
 }
 
-// Passes bytes on until one side ends, or so many have gone.
-io::Task<> Proxy::pass(io::Socket& from, io::Socket& to, std::size_t most_bytes, std::size_t& left,
-                       io::Signal& over, std::uint64_t number, bool towards_worker) {
+io::Task<> Proxy::relay(io::Socket& from, io::Socket& to, std::size_t max_bytes, std::size_t& bytes_left,
+                        io::Signal& ended, std::uint64_t connection_number, bool towards_worker) {
   std::array<char, 16 * 1024> buffer;
   for (;;) {
-    const io::IoResult got = co_await from.read_some(std::span(buffer).subspan(0, most_bytes));
-    while (!passes(number, towards_worker)) co_await passes_again_.wait();
-    const std::size_t bytes = std::min(got.bytes, left);
-    left -= bytes;
-    if (bytes == 0 || !(co_await to.write_all({buffer.data(), bytes})).ok() || left == 0) break;
+    const io::IoResult received = co_await from.read_some(std::span(buffer).subspan(0, max_bytes));
+    while (!may_relay(connection_number, towards_worker)) co_await links_pass_.wait();
+    const std::size_t bytes = std::min(received.bytes, bytes_left);
+    bytes_left -= bytes;
+    if (bytes == 0 || !(co_await to.write_all({buffer.data(), bytes})).ok() || bytes_left == 0) break;
   }
-  over.notify();
+  ended.notify();
 }
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/proxy.h
+++ b/rig/soak/proxy.h
@@ -1,5 +1,6 @@
-// A proxy that stands between routers and one worker and does to connections what networks do: brings answers late,
-// breaks them off, passes them on in small pieces, swallows what comes, or falls silent with every connection open.
+// A TCP proxy in front of one worker that simulates network faults: it delays answers, resets connections,
+// splits answers into small pieces, never reads from some connections, or falls silent while every connection
+// stays open.
 #pragma once
 
 #include <random>
@@ -11,29 +12,32 @@
 class Proxy {
  public:
   Proxy(io::Loop& loop, io::Address listen, io::Address target, std::uint64_t seed);
-  // The connections that are open now pass nothing any more and stay open, or nothing towards the router only.
+  // Stops passing data on the connections that are open now, in both directions or towards the router only
+  // (drawn at random). They stay open.
   void silence_open_connections();
-  // All connections, new ones too, pass nothing until told otherwise; what came meanwhile is passed on then.
+  // Stops or resumes passing data on all connections, including new ones. Data received meanwhile is passed
+  // on later.
   void silence_all(bool silent);
 
  private:
-  enum class Trouble { none, late, broken, pieces, swallowed };
+  enum class Fault { none, delayed, reset, fragmented, ignored };
   io::Task<> accept();
-  io::Task<> carry(io::Socket client, std::uint64_t number);
-  io::Task<> pass(io::Socket& from, io::Socket& to, std::size_t most_bytes, std::size_t& left,
-                  io::Signal& over, std::uint64_t number, bool towards_worker);
-  bool passes(std::uint64_t number, bool towards_worker) const;
-  Trouble draw();
+  io::Task<> relay_connection(io::Socket client, std::uint64_t connection_number);
+  // Relays bytes until one side ends or `bytes_left` bytes have passed. Then notifies `ended`.
+  io::Task<> relay(io::Socket& from, io::Socket& to, std::size_t max_bytes, std::size_t& bytes_left,
+                   io::Signal& ended, std::uint64_t connection_number, bool towards_worker);
+  bool may_relay(std::uint64_t connection_number, bool towards_worker) const;
+  Fault draw_fault();
 
   io::Loop& loop_;
   io::Address target_;
   std::mt19937_64 random_;
   io::Listener listener_;
   std::uint64_t accepted_{};
-  std::uint64_t silent_up_to_{};          // connections of these numbers, for good
-  std::uint64_t answers_silent_up_to_{};  // and of these, on the way to the router
+  std::uint64_t silent_up_to_{};          // connections up to this number pass nothing any more
+  std::uint64_t answers_silent_up_to_{};  // connections up to this number pass nothing to the router any more
   bool all_silent_{};
-  io::Signal passes_again_;
+  io::Signal links_pass_;
   io::Scope connections_;
 };
 
