--- a/rig/soak/cue.h
+++ b/rig/soak/cue.h
@@ -1,5 +1,5 @@
-// Tells the clients of a soak, by datagrams over loopback, of the moment in which a worker answers, so that some of them can
-// leave just then and not by chance.
+// Notifies the clients of a soak, by UDP datagrams over loopback, that a worker is answering, so that some of
+// them can leave at exactly that time.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,8 @@
 
 namespace cressrill::rig::soak {
 
-// What a worker is about to write, or has just written. The first byte of a stream is its answer.
+// What a worker is about to write or has just written. The answer of a stream is its first byte. The values
+// are sent in datagrams.
 enum class Cue : char {
   none = '-',
   before_prefill_answer = 'p',
@@ -20,9 +21,9 @@
 
 class CueSender {
  public:
-  // Port 0: nobody is told. Throws std::system_error where there is no socket.
+  // Port 0: send() does nothing. Throws std::system_error if the socket cannot be set up.
   CueSender(io::Loop& loop, io::Address to);
-  // A datagram that the kernel does not take is lost.
+  // Never blocks. A datagram that the kernel does not accept is dropped.
   void send(Cue cue, const std::string& id);
 
  private:
@@ -32,7 +33,7 @@
 class CueReceiver {
  public:
   using Handler = std::function<void(Cue cue, const std::string& id)>;
-  // Throws std::system_error where there is no socket.
+  // Calls the handler for each datagram. Throws std::system_error if the socket cannot be set up.
   CueReceiver(io::Loop& loop, Handler handler);
   const io::Address& address() const { return address_; }
 
--- a/rig/soak/worker.h
+++ b/rig/soak/worker.h
@@ -1,5 +1,5 @@
-// A stand-in for a worker of the platform, as a process of its own: reads prompts or writes streams, fails now and then,
-// and records what came and what it did, so that the checker can judge from the workers' side.
+// A stand-in for a worker of the platform, in a process of its own. It serves prefill or decode attempts,
+// fails a share of them, and records what it receives and does for the checker.
 #pragma once
 
 #include <random>
@@ -13,11 +13,11 @@
 
 struct WorkerOptions {
   std::string name;
-  bool reads{};
+  bool reads{};  // serves prefill attempts, else decode attempts
   io::Address address;
   std::uint64_t seed{};
-  io::Address cues;      // where clients are told of its answers; port 0: nowhere
-  double failing{0.06};  // share of the requests that it turns away, fails, breaks or leaves without a word
+  io::Address cues;            // where it sends cues about its answers; port 0: nowhere
+  double failure_share{0.06};  // share of the attempts that it rejects, fails, aborts or leaves unanswered
 };
 
 class SoakWorker {
@@ -26,23 +26,26 @@
 
  private:
   io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
-  io::Task<> call(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
-  io::Task<bool> fail(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
-  io::Task<> read(const std::string& id, http::ResponseWriter& answer);
-  io::Task<> write(const std::string& id, http::ResponseWriter& answer);
-  double chance() { return std::uniform_real_distribution<double>()(random_); }
-  io::Nanos between(int from_ms, int to_ms) {
+  io::Task<> handle_attempt(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
+  // Fails the attempt at random; returns whether it did.
+  io::Task<bool> maybe_fail(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
+  io::Task<> prefill(const std::string& id, http::ResponseWriter& answer);
+  io::Task<> decode(const std::string& id, http::ResponseWriter& answer);
+  double random_fraction() { return std::uniform_real_distribution<double>()(random_); }
+  io::Nanos random_delay(int from_ms, int to_ms) {
     return std::uniform_int_distribution<std::int64_t>(from_ms, to_ms)(random_) * io::kMs;
   }
   enum class Moment { before, after };
-  void cue(Moment moment, const std::string& id);
-  void note(const char* event, const std::string& id, Recorder::Line more = Recorder::Line::object());
+  // Notifies the clients that an answer is about to be written, or has just been written.
+  void send_cue(Moment moment, const std::string& id);
+  void record_event(const char* event, const std::string& id,
+                    Recorder::Line fields = Recorder::Line::object());
 
   io::Loop& loop_;
   WorkerOptions options_;
   Recorder& record_;
   std::mt19937_64 random_;
-  std::uint64_t posts_{};
+  std::uint64_t attempts_{};
   CueSender cues_;
   http::Server server_;
 };
--- a/tests/soak_cue_test.cpp
+++ b/tests/soak_cue_test.cpp
@@ -1,4 +1,4 @@
-// The datagrams by which a soak's workers tell its clients of an answer.
+// Tests of the datagrams by which the workers of a soak notify its clients of an answer.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,22 +10,22 @@
 
 using rig::soak::Cue;
 
-// Guards against cues that wait behind another until a later one wakes their receiver: clients would leave too late.
-TEST_CASE("cues of a soak: all that came before one look at the socket are taken with it") {
+// Guards against cues that stay queued until a later datagram arrives, so that clients leave too late.
+TEST_CASE("soak cues: all datagrams that are queued on the socket are received at one wakeup") {
   io::Loop loop;
-  std::vector<std::string> heard;
+  std::vector<std::string> received_cues;
   rig::soak::CueReceiver receiver(
-      loop, [&](Cue cue, const std::string& id) { heard.push_back(static_cast<char>(cue) + id); });
+      loop, [&](Cue cue, const std::string& id) { received_cues.push_back(static_cast<char>(cue) + id); });
   rig::soak::CueSender sender(loop, receiver.address());
   sender.send(Cue::before_prefill_answer, "c1");
   sender.send(Cue::after_prefill_answer, "c1");
   sender.send(Cue::after_decode_answer, "c2");
-  const io::Nanos began = loop.update_now();
-  loop.run_until([&] { return heard.size() >= 3 || loop.now() > began + 20 * io::kMs; });
-  CHECK(heard == std::vector<std::string>{"pc1", "Pc1", "Dc2"});
+  const io::Nanos started_at = loop.update_now();
+  loop.run_until([&] { return received_cues.size() >= 3 || loop.now() > started_at + 20 * io::kMs; });
+  CHECK(received_cues == std::vector<std::string>{"pc1", "Pc1", "Dc2"});
 }
 
-TEST_CASE("cues of a soak: a worker that was given no address tells nobody") {
+TEST_CASE("soak cues: a sender without an address sends nothing") {
   io::Loop loop;
   rig::soak::CueSender sender(loop, {});
   sender.send(Cue::before_decode_answer, "c1");
