--- a/rig/soak/discovery.h
+++ b/rig/soak/discovery.h
@@ -1,4 +1,5 @@
-// A stand-in for discovery's agents: one history of changes behind several addresses, each of which can fall silent.
+// A stand-in for the agents of discovery: several addresses that serve one history of changes and can stop
+// answering.
 #pragma once
 
 #include <deque>
@@ -15,20 +16,21 @@
  public:
   Discovery(io::Loop& loop, std::size_t agents);
   const io::Address& address(std::size_t agent) const { return agents_[agent]->address(); }
-  // A worker's entry is new, or has changed; one whose state is "removed" leaves the list.
+  // Adds or replaces the entry of a worker; the state "removed" deletes it.
   void put(nlohmann::json target);
-  // No call is answered while it is silent.
+  // While silent, no agent answers a call.
   void silence(bool silent);
 
  private:
-  io::Task<> answer(http::Request& request, http::ResponseWriter& to);
+  io::Task<> answer(http::Request& request, http::ResponseWriter& response);
+  // The entries that have changed since that version.
   nlohmann::json list_since(std::uint64_t version) const;
 
   io::Loop& loop_;
   io::Signal changed_;
   bool silent_{};
   std::uint64_t version_{40};
-  std::vector<nlohmann::json> all_;
+  std::vector<nlohmann::json> targets_;
   std::deque<std::pair<std::uint64_t, nlohmann::json>> changes_;
   std::vector<std::unique_ptr<http::Server>> agents_;
 };
--- a/rig/soak/idle_crowd.cpp
+++ b/rig/soak/idle_crowd.cpp
@@ -3,8 +3,8 @@
 namespace cressrill::rig::soak {
 
 namespace {
-constexpr io::Nanos kConnectWithin = io::kSecond;
-constexpr int kBackAfterLeastMs = 300, kBackAfterMostMs = 2000;
+constexpr io::Nanos kConnectTimeout = io::kSecond;
+constexpr int kMinReconnectDelayMs = 300, kMaxReconnectDelayMs = 2000;
 }  // namespace
 
 IdleCrowd::IdleCrowd(io::Loop& loop, std::uint64_t seed, int clients,
@@ -16,8 +16,8 @@
 io::Task<> IdleCrowd::idle_client() {
   for (;;) {
     co_await connect_once();
-    std::uniform_int_distribution<int> back_after(kBackAfterLeastMs, kBackAfterMostMs);
-    co_await loop_.sleep_for(back_after(random_) * io::kMs);
+    std::uniform_int_distribution<int> reconnect_delay_ms(kMinReconnectDelayMs, kMaxReconnectDelayMs);
+    co_await loop_.sleep_for(reconnect_delay_ms(random_) * io::kMs);
   }
 }
 
@@ -25,9 +25,9 @@
   const std::optional<io::Address> address = address_();
   if (!address) co_return;
   io::Socket socket;
-  const auto made =
-      co_await io::with_deadline(loop_, loop_.now() + kConnectWithin, io::connect(loop_, *address, socket));
-  if (made && made->ok()) co_await socket.wait_for_peer_close();
+  const auto connected =
+      co_await io::with_deadline(loop_, loop_.now() + kConnectTimeout, io::connect(loop_, *address, socket));
+  if (connected && connected->ok()) co_await socket.wait_for_peer_close();
 }
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/idle_crowd.h
+++ b/rig/soak/idle_crowd.h
@@ -1,5 +1,5 @@
-// Clients that open connections and send nothing, so many that a router's descriptors for clients are taken. Those that it
-// closes come back a little later.
+// Idle clients that open connections and send nothing, in order to use up the descriptors that a router has
+// for clients. A client whose connection is closed reconnects after a random delay.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,8 @@
 
 class IdleCrowd {
  public:
-  // address: of the router that they fill; none while it takes no connections.
+  // address: returns the address of the router, or none while it accepts no connections. Clients disconnect
+  // on destruction.
   IdleCrowd(io::Loop& loop, std::uint64_t seed, int clients,
             std::function<std::optional<io::Address>()> address);
 
