--- a/router/host.h
+++ b/router/host.h
@@ -23,7 +23,7 @@
 using PolicyFactory =
     std::function<std::unique_ptr<Policy>(const PolicySettings&, std::uint64_t seed, Nanos now, Actions&)>;
 
-// Owns the requests in progress, their attempts, the fleet's connections and the policy. log, counters,
+// Owns the requests in progress, their attempts, the fleet's connections and the policy. loop, log, counters,
 // config and protocol must outlive it.
 class Host final : private Actions {
  public:
@@ -33,9 +33,11 @@
 
   // Serves one client request until its response is written or the client has left.
   io::Task<> serve(http::Request& http_request, http::ResponseWriter& response);
+  // Queues a worker list, which is applied and passed to the policy in its turn.
   void update_list(const core::WorkerList& list);
   // Discovery responded without a change to the list.
   void confirm_list() { fleet_.confirm_current(); }
+  // Queues the notice that discovery could not be reached.
   void list_failed();
   const Fleet& fleet() const { return fleet_; }
   std::size_t live_requests() const { return live_count_; }
