--- a/core/classify.cpp
+++ b/core/classify.cpp
@@ -41,12 +41,12 @@
   ClassifiedRequest result;
   result.tenant = find_tenant(config, fields);
   if (result.tenant < 0 && !config.tenants.empty())
-    return RequestError{401, "invalid_api_key", "", "The API key belongs to no known tenant."};
+    return RequestError{401, "invalid_api_key", "", "The key is none of a known tenant."};
   if (result.tenant < 0) result.tenant = 0;
   result.type = find_type(config, request, path, fields);
   if (result.type < 0)
     return RequestError{404, "model_not_found", "model",
-                        "No traffic type matches this request for model '" + request.model + "'."};
+                        "No traffic type serves model '" + request.model + "' here."};
   const double bytes = static_cast<double>(std::max<std::size_t>(1, request.prompt_bytes));
   result.prompt_tokens = request.prompt_tokens
                              ? static_cast<double>(*request.prompt_tokens)
@@ -63,7 +63,7 @@
     const auto [end, error] = std::from_chars(header->data(), header->data() + header->size(), ms);
     if (error != std::errc{} || end != header->data() + header->size() || ms < 1 || ms > 86'400'000)
       return RequestError{400, "invalid_value", "x-abandon-after-ms",
-                          "The header must be a number of milliseconds from 1 to 86400000."};
+                          "The field must be a number of milliseconds from 1 on."};
     result.time_limit = std::min<Nanos>(result.time_limit, ms * 1'000'000);
   }
   return result;
--- a/core/parsed_request.cpp
+++ b/core/parsed_request.cpp
@@ -92,7 +92,7 @@
     return 0;
   }
   if (type != od::json_type::array)
-    fail("messages", "A message's content must be a string or a list of parts.");
+    fail("messages", "A message's content must be a text or a list of parts.");
   std::size_t bytes = 0;
   for (auto part : require(content.get_array(), "messages", "a list")) {
     od::object object = require(part.get_object(), "messages", "a list of messages with lists of parts");
@@ -175,7 +175,7 @@
              "unsupported_value");
       }
     }
-    if (is_string && tokens > 0) fail("prompt", "'prompt' mixes strings and token ids.");
+    if (is_string && tokens > 0) fail("prompt", "'prompt' mixes texts and token ids.");
     if (!is_string) {
       request.prompt_tokens = tokens;
       request.prompt_bytes = tokens * 4;
