--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -8,11 +8,11 @@
 // design" where it departs from it.
 //
 // The obligations that comments refer to by number:
-//   rule 1  a request is answered before its deadline
-//   rule 2  a request that may have run is repeated only as its traffic type allows
+//   rule 1  each accepted request gets exactly one final answer, before its deadline
+//   rule 2  no effect happens twice: a request that may have run is repeated only as its traffic type allows
 //   rule 3  a worker that drains or is gone gets no new work
-//   rule 4  a worker in slow start gets no more load than it can take
-//   rule 5  KV cache is held no longer than the limit
+//   rule 4  all routers together do not overload a worker in slow start
+//   rule 5  KV cache is held no longer than the limit, and none is leaked
 #include "policy.h"
 
 #include <algorithm>
