--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -22,8 +22,8 @@
 
 io::Nanos nanos(double ms) { return static_cast<io::Nanos>(ms * 1e6); }
 
-// The text of a request as one string, messages with their roles.
-std::string prompt_of(const json& body) {
+// The prompt of a request as one string; messages are prefixed with their roles.
+std::string prompt_text(const json& body) {
   std::string out;
   if (body.contains("prompt")) {
     const json& prompt = body["prompt"];
@@ -54,23 +54,23 @@
     if (at == from) ++at;
     if (text[from] == ' ') continue;
     for (std::size_t i = from; i < at; ++i) chain = mix(chain, static_cast<unsigned char>(text[i]));
-    if (++out.count % kBlock == 0) out.blocks.push_back(chain);
+    if (++out.count % kTokensPerBlock == 0) out.blocks.push_back(chain);
   }
   return out;
 }
 
-Engine::Engine(io::Loop& loop, EngineMake make, Recorder& record)
+Engine::Engine(io::Loop& loop, EngineMake config, Recorder& record)
     : loop_(loop),
-      make_(std::move(make)),
+      config_(std::move(config)),
       record_(record),
-      chance_(std::hash<std::string>{}(make_.name) | 1),
-      loud_(loop),
-      read_came_(loop),
-      write_came_(loop),
+      random_state_(std::hash<std::string>{}(config_.name) | 1),
+      silence_ended_(loop),
+      prefill_queued_(loop),
+      decode_ready_(loop),
       faults_(loop),
       work_(loop) {
-  const auto parsed = io::parse_address(make_.address);
-  if (!parsed) throw std::invalid_argument("engine " + make_.name + ": address '" + make_.address + "'");
+  const auto parsed = io::parse_address(config_.address);
+  if (!parsed) throw std::invalid_argument("engine " + config_.name + ": address '" + config_.address + "'");
   address_ = *parsed;
   start();
 }
@@ -86,278 +86,303 @@
       loop_, address_, [this](http::Request& rq, http::ResponseWriter& a) { return serve(rq, a); },
       http::MessageLimits{64 * 1024, 16 * 1024 * 1024});
   address_ = server_->address();
-  make_.address = address_.to_string();
-  slow_ = 1, errors_ = throttle_ = cut_ = 0;
+  config_.address = address_.to_string();
+  slowdown_ = 1;
+  error_share_ = throttle_share_ = cut_share_ = 0;
   silent_ = false;
-  work_.spawn(reader());
-  work_.spawn(writer());
-  record_.note("up", {{"engine", make_.name}});
+  work_.spawn(run_prefills());
+  work_.spawn(run_decode_steps());
+  record_.note("up", {{"engine", config_.name}});
 }
 
 void Engine::stop(const char* why) {
   if (!server_) return;
-  record_.note("down", {{"engine", make_.name}, {"why", why}});
+  record_.note("down", {{"engine", config_.name}, {"why", why}});
   server_->kill();
   server_.reset();
   work_.cancel();
-  reads_.clear(), writes_.clear(), running_.clear(), fetching_.clear();
-  for (const auto& [id, state] : states_) record_.note("lost", {{"engine", make_.name}, {"id", id}});
-  states_.clear(), kept_.clear(), kept_order_.clear(), marks_.clear(), arrived_.clear(), peers_.clear();
-  state_tokens_ = write_tokens_ = 0;
-  if (told_) told_(false);
+  prefill_queue_.clear();
+  decode_queue_.clear();
+  running_.clear();
+  fetching_.clear();
+  for (const auto& [id, state] : kv_entries_) record_.note("lost", {{"engine", config_.name}, {"id", id}});
+  kv_entries_.clear();
+  cached_blocks_.clear();
+  cache_order_.clear();
+  seen_idempotency_keys_.clear();
+  recent_work_.clear();
+  peers_.clear();
+  kv_tokens_held_ = decode_tokens_ = 0;
+  if (on_change_) on_change_(false);
 }
 
-io::Task<> Engine::later(io::Nanos span, std::function<void()> then) {
+io::Task<> Engine::run_after(io::Nanos span, std::function<void()> then) {
   co_await loop_.sleep_for(span);
   then();
 }
 
-void Engine::apply(const Fault& f) {
-  record_.note("fault",
-               {{"engine", make_.name}, {"kind", f.kind}, {"size", f.size}, {"for_ms", f.span / io::kMs}});
+void Engine::apply(const Fault& fault) {
+  record_.note("fault", {{"engine", config_.name},
+                         {"kind", fault.kind},
+                         {"size", fault.size},
+                         {"for_ms", fault.span / io::kMs}});
   const auto ends = [&](std::function<void()> then) {
-    if (f.span > 0) faults_.spawn(later(f.span, std::move(then)));
+    if (fault.span > 0) faults_.spawn(run_after(fault.span, std::move(then)));
   };
-  const auto back_cold = [this] {
+  const auto restart_cold = [this] {
     if (server_) return;
-    started_ = loop_.now(), cold_ = true;
+    started_ = loop_.now();
+    cold_ = true;
     start();
-    if (told_) told_(true);
+    if (on_change_) on_change_(true);
   };
-  if (f.kind == "crash") {
+  if (fault.kind == "crash") {
     stop("crash");
-    ends(back_cold);
-  } else if (f.kind == "vanish") {
+    ends(restart_cold);
+  } else if (fault.kind == "vanish") {
     silent_ = true;
-    ends([this, back_cold] {
+    ends([this, restart_cold] {
       stop("vanish");
-      back_cold();
+      restart_cold();
     });
-  } else if (f.kind == "slow") {
-    slow_ = f.size;
-    ends([this] { slow_ = 1; });
-  } else if (f.kind == "ageing") {  // slower and slower, then dead
-    slow_ = std::max(1.5, f.size / 2);
-    faults_.spawn(later(f.span / 2, [this, f] { slow_ = f.size; }));
-    ends([this, back_cold] {
+  } else if (fault.kind == "slow") {
+    slowdown_ = fault.size;
+    ends([this] { slowdown_ = 1; });
+  } else if (fault.kind == "ageing") {  // slows down in two steps, then crashes
+    slowdown_ = std::max(1.5, fault.size / 2);
+    faults_.spawn(run_after(fault.span / 2, [this, fault] { slowdown_ = fault.size; }));
+    ends([this, restart_cold] {
       stop("ageing");
-      back_cold();
+      restart_cold();
     });
-  } else if (f.kind == "throttle") {
-    throttle_ = f.size, throttle_to_ = f.to;
-    ends([this] { throttle_ = 0; });
-  } else if (f.kind == "flush") {
-    kept_.clear(), kept_order_.clear();
-  } else if (f.kind == "fast_errors") {
-    errors_ = f.size;
-    ends([this] { errors_ = 0; });
-  } else if (f.kind == "cut") {
-    cut_ = f.size;
-    ends([this] { cut_ = 0; });
-  } else if (f.kind == "handshake_slow") {
-    if (server_) server_->throttle_accept(nanos(f.size));
+  } else if (fault.kind == "throttle") {
+    throttle_share_ = fault.size;
+    throttle_target_ = fault.to;
+    ends([this] { throttle_share_ = 0; });
+  } else if (fault.kind == "flush") {
+    cached_blocks_.clear();
+    cache_order_.clear();
+  } else if (fault.kind == "fast_errors") {
+    error_share_ = fault.size;
+    ends([this] { error_share_ = 0; });
+  } else if (fault.kind == "cut") {
+    cut_share_ = fault.size;
+    ends([this] { cut_share_ = 0; });
+  } else if (fault.kind == "handshake_slow") {
+    if (server_) server_->throttle_accept(nanos(fault.size));
     ends([this] {
       if (server_) server_->throttle_accept(0);
     });
   } else {
-    throw std::invalid_argument("fault '" + f.kind + "' is not known to engines");
+    throw std::invalid_argument("fault '" + fault.kind + "' is not an engine fault");
   }
 }
 
-double Engine::chance() {
-  chance_ = chance_ * 6364136223846793005u + 1442695040888963407u;
-  return static_cast<double>(chance_ >> 11) / 9007199254740992.0;
+double Engine::random() {
+  random_state_ = random_state_ * 6364136223846793005u + 1442695040888963407u;
+  return static_cast<double>(random_state_ >> 11) / 9007199254740992.0;
 }
 
-double Engine::climbed() const {
+double Engine::ramped_capacity() const {
   if (!cold_) return 1;
-  const double at = std::min(1.0, static_cast<double>(loop_.now() - started_) / (make_.ramp_ms * 1e6));
-  return make_.cold_from + (1 - make_.cold_from) * at * at;
+  const double at = std::min(1.0, static_cast<double>(loop_.now() - started_) / (config_.ramp_ms * 1e6));
+  return config_.cold_from + (1 - config_.cold_from) * at * at;
 }
 
-double Engine::speed() const { return climbed() / slow_; }
+double Engine::speed() const { return ramped_capacity() / slowdown_; }
 
-// Rule 4: a cold engine that gets more than a multiple of its present capacity over a span falls over. One piece of
-// work is let in beyond the budget: it comes in lumps.
-bool Engine::falls(double work_s) {
-  if (!cold_ || loop_.now() - started_ >= nanos(make_.ramp_ms)) return false;
-  arrived_.emplace_back(loop_.now(), work_s);
-  while (arrived_.front().first < loop_.now() - nanos(make_.fall_ms)) arrived_.pop_front();
+// Rule 4: a cold engine crashes when the work that arrives within fall_ms exceeds fall_multiple times its
+// present capacity. The largest request of the span is not counted, as a single one can exceed the budget by
+// itself.
+bool Engine::overloads(double work_s) {
+  if (!cold_ || loop_.now() - started_ >= nanos(config_.ramp_ms)) return false;
+  recent_work_.emplace_back(loop_.now(), work_s);
+  while (recent_work_.front().first < loop_.now() - nanos(config_.fall_ms)) recent_work_.pop_front();
   double sum = 0, most = 0;
-  for (const auto& [at, work] : arrived_) sum += work, most = std::max(most, work);
-  return sum - most > make_.fall_multiple * climbed() * make_.fall_ms / 1000;
+  for (const auto& [at, work] : recent_work_) {
+    sum += work;
+    most = std::max(most, work);
+  }
+  return sum - most > config_.fall_multiple * ramped_capacity() * config_.fall_ms / 1000;
 }
 
-std::string Engine::load() {
-  if (load_.empty() || loop_.now() - load_at_ >= nanos(make_.report_ms)) {
-    const double held = make_.role == Role::prefill ? state_tokens_ : write_tokens_;
-    load_ = fmt::format(
+std::string Engine::load_header() {
+  if (load_header_.empty() || loop_.now() - load_header_made_at_ >= nanos(config_.report_ms)) {
+    const double held = config_.role == Role::prefill ? kv_tokens_held_ : decode_tokens_;
+    load_header_ = fmt::format(
         "endpoint-load-metrics: TEXT named_metrics.kv_cache_usage_perc={:.4f}, "
         "named_metrics.num_requests_running={}, named_metrics.num_requests_waiting={}\r\n",
-        std::min(1.0, held / make_.memory_tokens), running_.size() + fetching_.size() + states_.size(),
-        reads_.size() + writes_.size());
-    load_at_ = loop_.now();
+        std::min(1.0, held / config_.memory_tokens), running_.size() + fetching_.size() + kv_entries_.size(),
+        prefill_queue_.size() + decode_queue_.size());
+    load_header_made_at_ = loop_.now();
   }
-  return load_;
+  return load_header_;
 }
 
-void Engine::note(const char* event, const Job& job, Recorder::Line more) {
-  Recorder::Line line{{"engine", make_.name}, {"id", job.id}, {"router", job.router}};
+void Engine::record_job(const char* event, const Job& job, Recorder::Line more) {
+  Recorder::Line line{{"engine", config_.name}, {"id", job.id}, {"router", job.router}};
   line.update(more);
   record_.note(event, std::move(line));
 }
 
-io::Task<> Engine::unsilenced() {
-  while (silent_) co_await loud_.wait();
+io::Task<> Engine::wait_while_silent() {
+  while (silent_) co_await silence_ended_.wait();
 }
 
 io::Task<> Engine::serve(http::Request& request, http::ResponseWriter& answer) {
-  co_await unsilenced();
+  co_await wait_while_silent();
   const std::string_view target = request.head.target;
   if (target == "/v1/chat/completions" || target == "/v1/completions") {
-    co_await complete(request, answer, target == "/v1/chat/completions");
+    co_await serve_completion(request, answer, target == "/v1/chat/completions");
     co_return;
   }
   const json body = json::parse(request.body, nullptr, false);
   const std::string id = body.is_object() ? body.value("request_id", "") : "";
   if (target == "/v1/kv/release") {
-    for (const JobRef& job : reads_)
-      if (job->id == id) job->dropped = true;
-    free_state(id, "freed");
+    for (const JobPtr& job : prefill_queue_)
+      if (job->id == id) job->cancelled = true;
+    release_kv(id, "freed");
     co_await answer.respond(200, kJson, "{}");
   } else if (target == "/v1/kv/fetch") {
-    co_await fetch(id, body.value("cell", ""), answer);
+    co_await serve_kv_fetch(id, body.value("cell", ""), answer);
   } else {
     co_await answer.respond(404, kJson, core::error_body(404, "Not served here.", "unknown_url"));
   }
 }
 
 io::Task<> Engine::refuse(http::ResponseWriter& answer, const Job& job, int status, const char* code) {
-  note("out", job, {{"how", code}});
+  record_job("out", job, {{"how", code}});
   const std::string fields =
-      std::string(kJson) + load() + (status == 503 && chance() < 0.5 ? "retry-after: 1\r\n" : "");
+      std::string(kJson) + load_header() + (status == 503 && random() < 0.5 ? "retry-after: 1\r\n" : "");
   co_await answer.respond(status, fields, core::error_body(status, code, code));
 }
 
-io::Task<> Engine::complete(http::Request& request, http::ResponseWriter& answer, bool chat) {
+io::Task<> Engine::serve_completion(http::Request& request, http::ResponseWriter& answer, bool chat) {
   const json body = json::parse(request.body, nullptr, false);
   auto job = std::make_shared<Job>(loop_);
   const auto field = [&](const char* name) { return std::string(request.head.field(name).value_or("")); };
-  job->id = field("x-request-id"), job->router = field("x-router"), job->type = field("x-traffic-type");
-  job->tenant = field("x-tenant"), job->mark = field("idempotency-key");
+  job->id = field("x-request-id");
+  job->router = field("x-router");
+  job->type = field("x-traffic-type");
+  job->tenant = field("x-tenant");
+  job->idempotency_key = field("idempotency-key");
   json kv = json::object();
   if (body.is_object() && body.contains("kv_transfer_params") && body["kv_transfer_params"].is_object())
     kv = body["kv_transfer_params"];
-  const bool reads = kv.value("do_remote_decode", false);
+  const bool is_prefill = kv.value("do_remote_decode", false);
   if (kv.value("do_remote_prefill", false)) {
-    job->state_id = kv.value("remote_request_id", "");
-    job->state_at = kv.value("remote_host", "") + ":" + std::to_string(kv.value("remote_port", 0));
+    job->kv_id = kv.value("remote_request_id", "");
+    job->kv_address = kv.value("remote_host", "") + ":" + std::to_string(kv.value("remote_port", 0));
   }
-  note("in", *job,
-       {{"stage", reads ? "read" : "write"},
-        {"type", job->type},
-        {"state", job->state_id},
-        {"mark", job->mark}});
+  record_job("in", *job,
+             {{"stage", is_prefill ? "read" : "write"},
+              {"type", job->type},
+              {"state", job->kv_id},
+              {"mark", job->idempotency_key}});
   if (!body.is_object()) co_return co_await refuse(answer, *job, 400, "invalid_json");
-  if (chance() < errors_) co_return co_await refuse(answer, *job, 500, "engine_failed");
-  const bool aimed = throttle_to_.empty() || throttle_to_ == job->type || throttle_to_ == job->tenant;
-  if (aimed && chance() < throttle_) co_return co_await refuse(answer, *job, 503, "full");
-  if (make_.role == (reads ? Role::decode : Role::prefill))
+  if (random() < error_share_) co_return co_await refuse(answer, *job, 500, "engine_failed");
+  const bool applies =
+      throttle_target_.empty() || throttle_target_ == job->type || throttle_target_ == job->tenant;
+  if (applies && random() < throttle_share_) co_return co_await refuse(answer, *job, 503, "full");
+  if (config_.role == (is_prefill ? Role::decode : Role::prefill))
     co_return co_await refuse(answer, *job, 400, "wrong_role");
-  job->tokens = tokenize(prompt_of(body));
-  // How long the answer is, is the engine's to know: rigs tell it in the metadata.
+  job->tokens = tokenize(prompt_text(body));
+  // Load generators and tests set the length of the output in the request's metadata.
   const json meta =
       body.contains("metadata") && body["metadata"].is_object() ? body["metadata"] : json::object();
-  job->out = static_cast<std::size_t>(std::max(1, std::atoi(meta.value("out", "24").c_str())));
-  job->out = std::min(job->out, body.value("max_tokens", std::size_t{100'000}));
-  const double work = reads ? static_cast<double>(job->tokens.count) / make_.read_per_s
-                            : static_cast<double>(job->out) * make_.step_ms / 1000 / make_.slots;
-  if (falls(work)) {
-    note("fell", *job);
-    faults_.spawn(later(0, [this] { stop("fell"); }));
+  job->output_tokens = static_cast<std::size_t>(std::max(1, std::atoi(meta.value("out", "24").c_str())));
+  job->output_tokens = std::min(job->output_tokens, body.value("max_tokens", std::size_t{100'000}));
+  const double work = is_prefill
+                          ? static_cast<double>(job->tokens.count) / config_.read_per_s
+                          : static_cast<double>(job->output_tokens) * config_.step_ms / 1000 / config_.slots;
+  if (overloads(work)) {
+    record_job("fell", *job);
+    faults_.spawn(run_after(0, [this] { stop("fell"); }));
     co_return;
   }
-  const std::size_t hold = reads_.size() + writes_.size() + running_.size() + fetching_.size();
-  if (hold >= static_cast<std::size_t>(make_.slots + make_.queue) ||
-      (reads && state_tokens_ + static_cast<double>(job->tokens.count) > make_.memory_tokens))
+  const std::size_t in_progress =
+      prefill_queue_.size() + decode_queue_.size() + running_.size() + fetching_.size();
+  if (in_progress >= static_cast<std::size_t>(config_.slots + config_.queue) ||
+      (is_prefill && kv_tokens_held_ + static_cast<double>(job->tokens.count) > config_.memory_tokens))
     co_return co_await refuse(answer, *job, 503, "full");
-  if (reads)
-    co_await read(std::move(job), answer, chat);
+  if (is_prefill)
+    co_await serve_prefill(std::move(job), answer, chat);
   else
-    co_await write(std::move(job), answer, chat);
+    co_await serve_decode(std::move(job), answer, chat);
 }
 
-// Reading.
+// Prefill.
 
-std::size_t Engine::keep(const Tokens& tokens) {
+std::size_t Engine::cache_prefix(const Tokens& tokens) {
   std::size_t kept = 0;
-  bool unbroken = true;
+  bool contiguous = true;
   for (const std::uint64_t block : tokens.blocks) {
-    const auto it = kept_.find(block);
-    unbroken = unbroken && it != kept_.end();
-    kept += unbroken;
-    if (it != kept_.end()) kept_order_.erase(it->second);
-    kept_order_.push_front(block);
-    kept_[block] = kept_order_.begin();
+    const auto it = cached_blocks_.find(block);
+    contiguous = contiguous && it != cached_blocks_.end();
+    kept += contiguous;
+    if (it != cached_blocks_.end()) cache_order_.erase(it->second);
+    cache_order_.push_front(block);
+    cached_blocks_[block] = cache_order_.begin();
   }
-  const double room = std::max(0.0, make_.memory_tokens - state_tokens_);
-  while (static_cast<double>(kept_order_.size() * kBlock) > room) {
-    kept_.erase(kept_order_.back());
-    kept_order_.pop_back();
+  const double free_tokens = std::max(0.0, config_.memory_tokens - kv_tokens_held_);
+  while (static_cast<double>(cache_order_.size() * kTokensPerBlock) > free_tokens) {
+    cached_blocks_.erase(cache_order_.back());
+    cache_order_.pop_back();
   }
-  return kept * kBlock;
+  return kept * kTokensPerBlock;
 }
 
-io::Task<> Engine::reader() {
+io::Task<> Engine::run_prefills() {
   for (;;) {
-    while (reads_.empty()) co_await read_came_.wait();
-    co_await unsilenced();
-    const JobRef job = reads_.front();
-    if (!job->dropped) {
-      job->kept = std::min(keep(job->tokens), job->tokens.count - 1);
-      const double left = static_cast<double>(job->tokens.count - job->kept);
-      // In pieces, so that a change of speed, or a silence, acts in the middle of a long read.
-      for (double work = make_.read_overhead_ms / 1000 + left / make_.read_per_s;
-           work > 0 && !job->dropped;) {
+    while (prefill_queue_.empty()) co_await prefill_queued_.wait();
+    co_await wait_while_silent();
+    const JobPtr job = prefill_queue_.front();
+    if (!job->cancelled) {
+      job->cached_tokens = std::min(cache_prefix(job->tokens), job->tokens.count - 1);
+      const double uncached_tokens = static_cast<double>(job->tokens.count - job->cached_tokens);
+      // In pieces of at most 50 ms, so that a change of speed, or silence, takes effect during a long
+      // prefill.
+      for (double work = config_.read_overhead_ms / 1000 + uncached_tokens / config_.read_per_s;
+           work > 0 && !job->cancelled;) {
         const double piece = std::min(work, 0.05);
         co_await loop_.sleep_for(nanos(1000 * piece / speed()));
-        co_await unsilenced();
+        co_await wait_while_silent();
         work -= piece;
       }
     }
-    if (!reads_.empty() && reads_.front() == job) reads_.pop_front();
-    job->done = !job->dropped;
-    job->news.notify();
+    if (!prefill_queue_.empty() && prefill_queue_.front() == job) prefill_queue_.pop_front();
+    job->done = !job->cancelled;
+    job->updated.notify();
   }
 }
 
-io::Task<> Engine::drop_when_gone(http::ResponseWriter& answer, JobRef job) {
+io::Task<> Engine::cancel_on_client_close(http::ResponseWriter& answer, JobPtr job) {
   co_await answer.wait_for_client_close();
-  job->dropped = true;
-  job->news.notify();
+  job->cancelled = true;
+  job->updated.notify();
 }
 
-io::Task<> Engine::read(JobRef job, http::ResponseWriter& answer, bool chat) {
-  reads_.push_back(job);
-  read_came_.notify();
+io::Task<> Engine::serve_prefill(JobPtr job, http::ResponseWriter& answer, bool chat) {
+  prefill_queue_.push_back(job);
+  prefill_queued_.notify();
   {
     io::Scope watch(loop_);
-    watch.spawn(drop_when_gone(answer, job));
-    while (!job->done && !job->dropped) co_await job->news.wait();
+    watch.spawn(cancel_on_client_close(answer, job));
+    while (!job->done && !job->cancelled) co_await job->updated.wait();
   }
-  co_await unsilenced();
-  if (job->dropped) {
-    std::erase_if(reads_, [&](const JobRef& j) { return j == job && j != reads_.front(); });
-    note("out", *job, {{"how", "dropped"}});
+  co_await wait_while_silent();
+  if (job->cancelled) {
+    std::erase_if(prefill_queue_, [&](const JobPtr& j) { return j == job && j != prefill_queue_.front(); });
+    record_job("out", *job, {{"how", "dropped"}});
     answer.abort();
     co_return;
   }
   const double tokens = static_cast<double>(job->tokens.count);
-  states_[job->id] = {tokens, make_.cell, false, ++serial_};
-  state_tokens_ += tokens;
-  note("out", *job, {{"how", "read"}, {"kept", job->kept}, {"tokens", job->tokens.count}});
-  note("held", *job);
-  work_.spawn(expire(job->id, serial_));
+  kv_entries_[job->id] = {tokens, config_.cell, false, ++last_serial_};
+  kv_tokens_held_ += tokens;
+  record_job("out", *job, {{"how", "read"}, {"kept", job->cached_tokens}, {"tokens", job->tokens.count}});
+  record_job("held", *job);
+  work_.spawn(expire_kv(job->id, last_serial_));
   json body{{"id", job->id},
             {"object", chat ? "chat.completion" : "text_completion"},
             {"choices", json::array()},
@@ -365,43 +390,45 @@
              {{"prompt_tokens", job->tokens.count},
               {"completion_tokens", 1},
               {"total_tokens", job->tokens.count + 1},
-              {"prompt_tokens_details", {{"cached_tokens", job->kept}}}}},
+              {"prompt_tokens_details", {{"cached_tokens", job->cached_tokens}}}}},
             {"kv_transfer_params",
              {{"do_remote_prefill", true},
               {"do_remote_decode", false},
-              {"remote_engine_id", make_.name},
+              {"remote_engine_id", config_.name},
               {"remote_request_id", job->id},
               {"remote_block_ids", json::array()},
-              {"remote_host", make_.address.substr(0, make_.address.rfind(':'))},
+              {"remote_host", config_.address.substr(0, config_.address.rfind(':'))},
               {"remote_port", address_.port}}}};
-  const std::string fields = std::string(kJson) + load();
-  if (!co_await answer.respond(200, fields, body.dump())) free_state(job->id, "freed");
+  const std::string fields = std::string(kJson) + load_header();
+  if (!co_await answer.respond(200, fields, body.dump())) release_kv(job->id, "freed");
 }
 
-io::Task<> Engine::expire(std::string id, std::uint64_t serial) {
-  co_await loop_.sleep_for(nanos(make_.state_expiry_ms));
-  const auto it = states_.find(id);
-  if (it != states_.end() && it->second.serial == serial && !it->second.moving) free_state(id, "expired");
+io::Task<> Engine::expire_kv(std::string id, std::uint64_t serial) {
+  co_await loop_.sleep_for(nanos(config_.state_expiry_ms));
+  const auto it = kv_entries_.find(id);
+  if (it != kv_entries_.end() && it->second.serial == serial && !it->second.transferring)
+    release_kv(id, "expired");
 }
 
-void Engine::free_state(const std::string& id, const char* how) {
-  const auto it = states_.find(id);
-  if (it == states_.end() || (it->second.moving && std::string_view(how) != "taken")) return;
-  state_tokens_ -= it->second.tokens;
-  states_.erase(it);
-  record_.note(how, {{"engine", make_.name}, {"id", id}});
+void Engine::release_kv(const std::string& id, const char* how) {
+  const auto it = kv_entries_.find(id);
+  if (it == kv_entries_.end() || (it->second.transferring && std::string_view(how) != "taken")) return;
+  kv_tokens_held_ -= it->second.tokens;
+  kv_entries_.erase(it);
+  record_.note(how, {{"engine", config_.name}, {"id", id}});
 }
 
-io::Task<> Engine::fetch(const std::string& id, const std::string& cell, http::ResponseWriter& answer) {
-  const auto it = states_.find(id);
-  if (it == states_.end() || it->second.moving) {
+io::Task<> Engine::serve_kv_fetch(const std::string& id, const std::string& cell,
+                                  http::ResponseWriter& answer) {
+  const auto it = kv_entries_.find(id);
+  if (it == kv_entries_.end() || it->second.transferring) {
     co_await answer.respond(404, kJson, core::error_body(404, "No such state.", "kv_state_not_found"));
     co_return;
   }
-  it->second.moving = true;
-  const double factor = cell == make_.cell ? 1 : make_.far_factor;
-  const io::Nanos takes = nanos(1000 * factor * it->second.tokens / make_.transfer_per_s);
-  bool gone = false;
+  it->second.transferring = true;
+  const double factor = cell == config_.cell ? 1 : config_.far_factor;
+  const io::Nanos transfer_time = nanos(1000 * factor * it->second.tokens / config_.transfer_per_s);
+  bool client_closed = false;
   {
     io::Signal over(loop_);
     io::Scope both(loop_);
@@ -409,158 +436,166 @@
       co_await a.wait_for_client_close();
       g = true;
       s.notify();
-    }(answer, gone, over));
+    }(answer, client_closed, over));
     both.spawn([](io::Loop& l, io::Nanos span, io::Signal& s) -> io::Task<> {
       co_await l.sleep_for(span);
       s.notify();
-    }(loop_, takes, over));
+    }(loop_, transfer_time, over));
     co_await over.wait();
   }
-  co_await unsilenced();
-  if (gone) {  // the writer went: the state still waits
-    if (const auto again = states_.find(id); again != states_.end()) again->second.moving = false;
+  co_await wait_while_silent();
+  if (client_closed) {  // the decode engine closed the connection: the KV cache stays held
+    if (const auto again = kv_entries_.find(id); again != kv_entries_.end())
+      again->second.transferring = false;
     co_return;
   }
-  free_state(id, "taken");
+  release_kv(id, "taken");
   co_await answer.respond(200, kJson, "{}");
 }
 
-// Writing.
+// Decode.
 
 void Engine::admit() {
-  while (!writes_.empty()) {
-    const JobRef job = writes_.front();
-    if (job->dropped) {
-      writes_.pop_front();
+  while (!decode_queue_.empty()) {
+    const JobPtr job = decode_queue_.front();
+    if (job->cancelled) {
+      decode_queue_.pop_front();
       continue;
     }
-    const double need = static_cast<double>(job->tokens.count + job->written);
-    if (running_.size() + fetching_.size() >= static_cast<std::size_t>(make_.slots)) return;
-    if (write_tokens_ + need > make_.memory_tokens && !(running_.empty() && fetching_.empty())) return;
-    writes_.pop_front();
-    job->memory = need;
-    write_tokens_ += need;
-    if (job->fetched || job->state_id.empty()) {
+    const double need = static_cast<double>(job->tokens.count + job->generated);
+    if (running_.size() + fetching_.size() >= static_cast<std::size_t>(config_.slots)) return;
+    if (decode_tokens_ + need > config_.memory_tokens && !(running_.empty() && fetching_.empty())) return;
+    decode_queue_.pop_front();
+    job->reserved_memory = need;
+    decode_tokens_ += need;
+    if (job->fetched || job->kv_id.empty()) {
       running_.push_back(job);
-      write_came_.notify();
+      decode_ready_.notify();
     } else {
       fetching_.push_back(job);
-      work_.spawn(fetch_for(job));
+      work_.spawn(fetch_kv(job));
     }
   }
 }
 
-io::Task<> Engine::fetch_for(JobRef job) {
-  auto& pool = peers_[job->state_at];
-  const auto peer = io::parse_address(job->state_at);
+io::Task<> Engine::fetch_kv(JobPtr job) {
+  auto& pool = peers_[job->kv_address];
+  const auto peer = io::parse_address(job->kv_address);
   if (!pool && peer) pool = std::make_shared<http::Pool>(loop_, *peer);
-  http::ExchangeResult got;
+  http::ExchangeResult result;
   if (pool) {
-    const std::string body = json{{"request_id", job->state_id}, {"cell", make_.cell}}.dump();
-    // A reader that is gone silent holds no one up for ever.
+    const std::string body = json{{"request_id", job->kv_id}, {"cell", config_.cell}}.dump();
+    // Bounds the wait for a prefill engine that has stopped answering.
     const auto limit = loop_.now() + 3 * io::kSecond;
     auto answered = co_await io::with_deadline(
         loop_, limit,
-        http::exchange(pool, http::format_request("POST", "/v1/kv/fetch", job->state_at, kJson, body)));
-    if (answered) got = std::move(*answered);
+        http::exchange(pool, http::format_request("POST", "/v1/kv/fetch", job->kv_address, kJson, body)));
+    if (answered) result = std::move(*answered);
   }
   std::erase(fetching_, job);
-  job->fetched = got.ok() && got.head.status == 200;
-  if (job->fetched && !job->dropped) {
+  job->fetched = result.ok() && result.head.status == 200;
+  if (job->fetched && !job->cancelled) {
     running_.push_back(job);
-    write_came_.notify();
+    decode_ready_.notify();
   } else {
-    write_tokens_ -= job->memory;
-    job->lost = true;
-    job->news.notify();
+    decode_tokens_ -= job->reserved_memory;
+    job->kv_missing = true;
+    job->updated.notify();
     admit();
   }
 }
 
-// The newest answer goes back into the queue when memory runs out; it is read anew when it comes in again.
+// When memory runs out, the newest request goes back to the head of the queue; it keeps the tokens it has
+// generated.
 void Engine::preempt() {
-  while (write_tokens_ > make_.memory_tokens && running_.size() > 1) {
-    const JobRef job = running_.back();
+  while (decode_tokens_ > config_.memory_tokens && running_.size() > 1) {
+    const JobPtr job = running_.back();
     running_.pop_back();
-    write_tokens_ -= job->memory;
-    writes_.push_front(job);
-    note("preempted", *job);
+    decode_tokens_ -= job->reserved_memory;
+    decode_queue_.push_front(job);
+    record_job("preempted", *job);
   }
 }
 
-io::Task<> Engine::writer() {
+io::Task<> Engine::run_decode_steps() {
   for (;;) {
     admit();
     if (running_.empty()) {
-      co_await write_came_.wait();
+      co_await decode_ready_.wait();
       continue;
     }
-    const double step = make_.step_ms + make_.step_ms_per_sequence * static_cast<double>(running_.size());
+    const double step = config_.step_ms + config_.step_ms_per_sequence * static_cast<double>(running_.size());
     co_await loop_.sleep_for(nanos(step / speed()));
-    co_await unsilenced();
-    const std::vector<JobRef> batch = running_;
-    for (const JobRef& job : batch) {
-      if (!job->dropped) ++job->written, job->memory += 1, write_tokens_ += 1;
-      if (job->written >= job->out || job->dropped) {
+    co_await wait_while_silent();
+    const std::vector<JobPtr> batch = running_;
+    for (const JobPtr& job : batch) {
+      if (!job->cancelled) {
+        ++job->generated;
+        job->reserved_memory += 1;
+        decode_tokens_ += 1;
+      }
+      if (job->generated >= job->output_tokens || job->cancelled) {
         job->done = true;
-        write_tokens_ -= job->memory;
+        decode_tokens_ -= job->reserved_memory;
         std::erase(running_, job);
       }
-      job->news.notify();
+      job->updated.notify();
     }
     preempt();
   }
 }
 
-io::Task<> Engine::write(JobRef job, http::ResponseWriter& answer, bool chat) {
-  // A mixed engine without a state reads by itself, as a part of its memory and time.
-  if (job->state_id.empty()) {
-    if (make_.role == Role::decode) co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
-    job->kept = std::min(keep(job->tokens), job->tokens.count - 1);
-    co_await loop_.sleep_for(
-        nanos(1000 * static_cast<double>(job->tokens.count - job->kept) / make_.read_per_s / speed()));
+io::Task<> Engine::serve_decode(JobPtr job, http::ResponseWriter& answer, bool chat) {
+  // Without KV cache to fetch, a mixed engine runs the prefill itself. That takes time, but no slot of the
+  // queue.
+  if (job->kv_id.empty()) {
+    if (config_.role == Role::decode) co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
+    job->cached_tokens = std::min(cache_prefix(job->tokens), job->tokens.count - 1);
+    co_await loop_.sleep_for(nanos(1000 * static_cast<double>(job->tokens.count - job->cached_tokens) /
+                                   config_.read_per_s / speed()));
   }
-  writes_.push_back(job);
+  decode_queue_.push_back(job);
   admit();
   io::Scope watch(loop_);
-  watch.spawn(drop_when_gone(answer, job));
-  while (job->written == 0 && !job->dropped && !job->lost) co_await job->news.wait();
-  co_await unsilenced();
-  if (job->lost && !job->dropped) {
+  watch.spawn(cancel_on_client_close(answer, job));
+  while (job->generated == 0 && !job->cancelled && !job->kv_missing) co_await job->updated.wait();
+  co_await wait_while_silent();
+  if (job->kv_missing && !job->cancelled) {
     watch.cancel();
     co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
   }
-  if (job->dropped) {
-    std::erase(writes_, job);
-    // Whether it ran: once it was among the running, its effect may stand.
-    note("out", *job, {{"how", "dropped"}, {"ran", job->written > 0}});
+  if (job->cancelled) {
+    std::erase(decode_queue_, job);
+    // Tells whether a token was generated: the request's effect may have happened then.
+    record_job("out", *job, {{"how", "dropped"}, {"ran", job->generated > 0}});
     answer.abort();
     co_return;
   }
   bool repeat = false;
-  if (!job->mark.empty()) repeat = !marks_.try_emplace(job->mark, loop_.now()).second;
-  note("ran", *job,
-       {{"type", job->type},
-        {"mark", job->mark},
-        {"repeat", repeat},
-        {"cell", make_.cell},
-        {"zone", make_.zone}});
-  const std::string fields = "content-type: text/event-stream\r\n" + load();
+  if (!job->idempotency_key.empty())
+    repeat = !seen_idempotency_keys_.try_emplace(job->idempotency_key, loop_.now()).second;
+  record_job("ran", *job,
+             {{"type", job->type},
+              {"mark", job->idempotency_key},
+              {"repeat", repeat},
+              {"cell", config_.cell},
+              {"zone", config_.zone}});
+  const std::string fields = "content-type: text/event-stream\r\n" + load_header();
   co_await answer.begin_stream(200, fields);
-  const bool cut = chance() < cut_;
-  std::size_t told = 0;
-  while (told < job->out && !job->dropped && !answer.write_failed()) {
-    while (job->written <= told && !job->dropped) co_await job->news.wait();
-    co_await unsilenced();
+  const bool cut = random() < cut_share_;
+  std::size_t sent_tokens = 0;
+  while (sent_tokens < job->output_tokens && !job->cancelled && !answer.write_failed()) {
+    while (job->generated <= sent_tokens && !job->cancelled) co_await job->updated.wait();
+    co_await wait_while_silent();
     std::string part;
-    for (; told < job->written && !job->dropped; ++told) {
+    for (; sent_tokens < job->generated && !job->cancelled; ++sent_tokens) {
       json chunk{{"id", job->id},
                  {"object", chat ? "chat.completion.chunk" : "text_completion"},
                  {"created", 1},
                  {"model", "stand-in"}};
-      const std::string text = "t" + std::to_string(told) + " ";
+      const std::string text = "t" + std::to_string(sent_tokens) + " ";
       json choice{{"index", 0}, {"finish_reason", nullptr}};
-      if (told + 1 == job->out) choice["finish_reason"] = "stop";
+      if (sent_tokens + 1 == job->output_tokens) choice["finish_reason"] = "stop";
       if (chat)
         choice["delta"] = {{"content", text}};
       else
@@ -568,9 +603,9 @@
       chunk["choices"] = json::array({choice});
       part += "data: " + chunk.dump() + "\n\n";
     }
-    if (cut && told > job->out / 2) {
-      note("out", *job, {{"how", "cut"}, {"told", told}});
-      job->dropped = true;
+    if (cut && sent_tokens > job->output_tokens / 2) {
+      record_job("out", *job, {{"how", "cut"}, {"told", sent_tokens}});
+      job->cancelled = true;
       co_await answer.write_chunk(std::string_view(part).substr(0, part.size() / 2));
       answer.abort();
       co_return;
@@ -578,13 +613,13 @@
     if (!part.empty()) co_await answer.write_chunk(part);
   }
   watch.cancel();
-  if (job->dropped || answer.write_failed()) {
-    job->dropped = true;
-    note("out", *job, {{"how", "left"}, {"told", told}});
+  if (job->cancelled || answer.write_failed()) {
+    job->cancelled = true;
+    record_job("out", *job, {{"how", "left"}, {"told", sent_tokens}});
     answer.abort();
     co_return;
   }
-  note("out", *job, {{"how", "done"}, {"told", told}, {"tokens", job->tokens.count}});
+  record_job("out", *job, {{"how", "done"}, {"told", sent_tokens}, {"tokens", job->tokens.count}});
   const json usage{{"id", job->id},
                    {"object", chat ? "chat.completion.chunk" : "text_completion"},
                    {"created", 1},
@@ -592,9 +627,9 @@
                    {"choices", json::array()},
                    {"usage",
                     {{"prompt_tokens", job->tokens.count},
-                     {"completion_tokens", told},
-                     {"total_tokens", job->tokens.count + told},
-                     {"prompt_tokens_details", {{"cached_tokens", job->kept}}}}}};
+                     {"completion_tokens", sent_tokens},
+                     {"total_tokens", job->tokens.count + sent_tokens},
+                     {"prompt_tokens_details", {{"cached_tokens", job->cached_tokens}}}}}};
   const std::string last = "data: " + usage.dump() + "\n\ndata: [DONE]\n\n";
   co_await answer.write_chunk(last);
   co_await answer.end_stream();
--- a/rig/engine.h
+++ b/rig/engine.h
@@ -1,6 +1,7 @@
-// A stand-in for an engine of two-stage serving, on a socket of its own. It reads prompts first come first, keeps
-// texts, holds states until they are fetched, writes tokens in steps, is bounded in slots, queue and memory,
-// starts cold, and fails as it is told to. A model, not a measurement of any real engine.
+// A stand-in for an engine with separate prefill and decode, listening on a socket of its own. It runs
+// prefills in order of arrival, caches prefixes, holds the KV cache of a prefill until a decode engine
+// fetches it, and decodes its running requests in steps. Slots, queue and memory are bounded, it starts cold
+// after a restart, and faults can be injected. Its timing is a model, not a measurement of a real engine.
 #pragma once
 
 #include <deque>
@@ -27,138 +28,143 @@
   int slots = 8;
   int queue = 32;
   double memory_tokens = 150'000;
-  double read_per_s = 20'000;  // prompt tokens a second
-  double read_overhead_ms = 5;
-  double step_ms = 12;  // one token for every running answer
-  double step_ms_per_sequence = 0.1;
-  double transfer_per_s = 250'000;  // tokens of state a second, from this reader
-  double far_factor = 2;            // slower to another cell
-  double report_ms = 200;
-  double cold_from = 0.3;
-  double ramp_ms = 10'000;
-  double fall_multiple = 3;
-  double fall_ms = 2'000;
-  double state_expiry_ms = 6'000;  // states that nobody fetched are dropped
+  double read_per_s = 20'000;         // prompt tokens a second in a prefill
+  double read_overhead_ms = 5;        // added to each prefill
+  double step_ms = 12;                // a decode step: one token for every running request
+  double step_ms_per_sequence = 0.1;  // added to a step for each running request
+  double transfer_per_s = 250'000;    // tokens of KV cache a second, sent by this engine
+  double far_factor = 2;              // a transfer to another cell takes this many times as long
+  double report_ms = 200;             // interval at which the load report is refreshed
+  double cold_from = 0.3;             // share of its capacity that a cold engine starts with
+  double ramp_ms = 10'000;            // from a cold start to full capacity
+  double fall_multiple = 3;        // a cold engine crashes beyond this multiple of its present capacity ...
+  double fall_ms = 2'000;          // ... over this span
+  double state_expiry_ms = 6'000;  // KV cache that nobody fetched is dropped after this time
 };
 
-// What an engine is told to do wrong.
+// A fault that is injected into an engine.
 struct Fault {
   std::string kind;  // crash, vanish, slow, throttle, flush, fast_errors, handshake_slow, cut, ageing
-  double size{};     // slow: factor; throttle, fast_errors, cut: share; handshake_slow: ms a connection
-  io::Nanos span{};  // ends by itself after so long
-  std::string to;    // throttle: one tenant or traffic type; empty: all
+  double size{};  // slow, ageing: factor; throttle, fast_errors, cut: share; handshake_slow: ms a connection
+  io::Nanos span{};  // the fault ends after this time; 0: it lasts
+  std::string to;    // throttle: the tenant or traffic type concerned; empty: all
 };
 
-// Tokens of the stand-ins: words of up to five letters, and single signs. Prefixes are known by chained hashes of
-// blocks of sixteen.
+// The tokenizer of the stand-ins: a token is up to five letters or digits, or one other character; spaces are
+// skipped. Prefixes are identified by chained hashes of blocks of kTokensPerBlock tokens.
 struct Tokens {
   std::size_t count{};
+  // One hash for each full block; it covers all tokens up to the end of the block.
   std::vector<std::uint64_t> blocks;
 };
-constexpr std::size_t kBlock = 16;
+constexpr std::size_t kTokensPerBlock = 16;
 Tokens tokenize(std::string_view text);
 
+// Starts to listen in the constructor, which throws std::invalid_argument if the address cannot be parsed.
+// Requests, KV cache and prefix cache are lost when a fault stops the engine.
 class Engine {
  public:
-  Engine(io::Loop& loop, EngineMake make, Recorder& record);
+  Engine(io::Loop& loop, EngineMake config, Recorder& record);
   ~Engine();
-  const EngineMake& make() const { return make_; }
+  const EngineMake& make() const { return config_; }
   const io::Address& address() const { return address_; }
   bool up() const { return server_ != nullptr; }
   io::Nanos started() const { return started_; }
   void apply(const Fault& fault);
-  // Told after every start and stop, so that a list can follow.
-  void on_change(std::function<void(bool up)> told) { told_ = std::move(told); }
-  std::size_t states() const { return states_.size(); }
-  std::size_t in_hand() const { return reads_.size() + writes_.size() + running_.size(); }
+  // Called after every restart and stop, so that the worker list can follow.
+  void on_change(std::function<void(bool up)> callback) { on_change_ = std::move(callback); }
+  std::size_t states() const { return kv_entries_.size(); }
+  std::size_t in_hand() const { return prefill_queue_.size() + decode_queue_.size() + running_.size(); }
 
  private:
   struct Job {
-    explicit Job(io::Loop& loop) : news(loop) {}
-    std::string id, router, type, tenant, mark;
+    explicit Job(io::Loop& loop) : updated(loop) {}
+    std::string id, router, type, tenant, idempotency_key;
     Tokens tokens;
-    std::size_t out{};  // tokens to write
-    std::size_t written{};
-    std::string state_id;  // what is to be fetched
-    std::string state_at;  // address of its reader
-    std::string state_cell;
-    std::size_t kept{};
-    bool dropped{};
+    std::size_t output_tokens{};  // tokens to generate
+    std::size_t generated{};      // tokens generated so far
+    std::string kv_id;            // request whose KV cache is to be fetched
+    std::string kv_address;       // address of the prefill engine that holds it
+    std::string kv_cell;
+    std::size_t cached_tokens{};
+    bool cancelled{};
     bool done{};
-    bool lost{};  // the state was not there
+    bool kv_missing{};  // the KV cache could not be fetched
     bool fetched{};
-    double memory{};
-    io::Signal news;
+    double reserved_memory{};  // tokens
+    io::Signal updated;
   };
-  using JobRef = std::shared_ptr<Job>;
-  struct State {
+  using JobPtr = std::shared_ptr<Job>;
+  struct KvEntry {
     double tokens{};
     std::string cell;
-    bool moving{};
-    std::uint64_t serial{};
+    bool transferring{};     // a transfer is under way: it can neither expire nor be released
+    std::uint64_t serial{};  // tells this entry from a later one with the same id
   };
 
   void start();
   void stop(const char* why);
-  double climbed() const;
+  double ramped_capacity() const;  // share of the full capacity that the cold start has reached
   double speed() const;
-  bool falls(double work_s);
-  double chance();
+  bool overloads(double work_s);
+  double random();
 
   io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
-  io::Task<> complete(http::Request& request, http::ResponseWriter& answer, bool chat);
-  static io::Task<> drop_when_gone(http::ResponseWriter& answer, JobRef job);
-  io::Task<> read(JobRef job, http::ResponseWriter& answer, bool chat);
-  io::Task<> write(JobRef job, http::ResponseWriter& answer, bool chat);
-  io::Task<> fetch(const std::string& id, const std::string& cell, http::ResponseWriter& answer);
-  io::Task<> fetch_for(JobRef job);
-  io::Task<> reader();
-  io::Task<> writer();
-  io::Task<> expire(std::string id, std::uint64_t serial);
-  io::Task<> unsilenced();
+  io::Task<> serve_completion(http::Request& request, http::ResponseWriter& answer, bool chat);
+  // Cancels the job when its client closes the connection.
+  static io::Task<> cancel_on_client_close(http::ResponseWriter& answer, JobPtr job);
+  io::Task<> serve_prefill(JobPtr job, http::ResponseWriter& answer, bool chat);
+  io::Task<> serve_decode(JobPtr job, http::ResponseWriter& answer, bool chat);
+  io::Task<> serve_kv_fetch(const std::string& id, const std::string& cell, http::ResponseWriter& answer);
+  io::Task<> fetch_kv(JobPtr job);
+  io::Task<> run_prefills();
+  io::Task<> run_decode_steps();
+  io::Task<> expire_kv(std::string id, std::uint64_t serial);
+  io::Task<> wait_while_silent();
   void admit();
   void preempt();
-  std::size_t keep(const Tokens& tokens);
-  void free_state(const std::string& id, const char* how);
-  std::string load();
-  void note(const char* event, const Job& job, Recorder::Line more = Recorder::Line::object());
+  // Returns how many leading tokens were cached before.
+  std::size_t cache_prefix(const Tokens& tokens);
+  void release_kv(const std::string& id, const char* how);
+  std::string load_header();
+  void record_job(const char* event, const Job& job, Recorder::Line more = Recorder::Line::object());
   io::Task<> refuse(http::ResponseWriter& answer, const Job& job, int status, const char* code);
-  io::Task<> later(io::Nanos span, std::function<void()> then);
+  io::Task<> run_after(io::Nanos span, std::function<void()> then);
 
   io::Loop& loop_;
-  EngineMake make_;
+  EngineMake config_;
   Recorder& record_;
   io::Address address_;
-  std::function<void(bool)> told_;
+  std::function<void(bool)> on_change_;
   std::unique_ptr<http::Server> server_;
   io::Nanos started_{};
   bool cold_{};
-  std::uint64_t chance_;
+  std::uint64_t random_state_;
 
-  double slow_{1};
-  double errors_{};
-  double throttle_{};
-  std::string throttle_to_;
-  double cut_{};
+  double slowdown_{1};
+  double error_share_{};
+  double throttle_share_{};
+  std::string throttle_target_;
+  double cut_share_{};
   bool silent_{};
-  io::Signal loud_;
+  io::Signal silence_ended_;
 
-  std::deque<JobRef> reads_;
-  std::deque<JobRef> writes_;  // wait for a slot and memory
-  std::vector<JobRef> fetching_;
-  std::vector<JobRef> running_;  // oldest first
-  std::unordered_map<std::string, State> states_;
-  std::list<std::uint64_t> kept_order_;  // blocks, latest first
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> kept_;
-  std::unordered_map<std::string, io::Nanos> marks_;  // tokened work that ran here
-  double state_tokens_{};
-  double write_tokens_{};
-  std::deque<std::pair<io::Nanos, double>> arrived_;  // work in seconds, while cold
-  std::uint64_t serial_{};
-  std::string load_;
-  io::Nanos load_at_{};
-  io::Signal read_came_;
-  io::Signal write_came_;
+  std::deque<JobPtr> prefill_queue_;
+  std::deque<JobPtr> decode_queue_;  // waiting for a slot and memory
+  std::vector<JobPtr> fetching_;
+  std::vector<JobPtr> running_;  // oldest first
+  std::unordered_map<std::string, KvEntry> kv_entries_;
+  std::list<std::uint64_t> cache_order_;  // blocks, most recently used first
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> cached_blocks_;
+  std::unordered_map<std::string, io::Nanos> seen_idempotency_keys_;  // with the time of the first run
+  double kv_tokens_held_{};
+  double decode_tokens_{};
+  std::deque<std::pair<io::Nanos, double>> recent_work_;  // arrival time and seconds of work, while cold
+  std::uint64_t last_serial_{};
+  std::string load_header_;
+  io::Nanos load_header_made_at_{};
+  io::Signal prefill_queued_;
+  io::Signal decode_ready_;
   std::unordered_map<std::string, std::shared_ptr<http::Pool>> peers_;
   io::Scope faults_;
   io::Scope work_;
