--- a/rig/verdict.cpp
+++ b/rig/verdict.cpp
@@ -13,76 +13,76 @@
 
 std::string text(const Line& l, const char* key) { return l.value(key, std::string()); }
 Nanos at(const Line& l) { return l.at("t").get<Nanos>(); }
-// "<try>-<attempt>" to "<try>", "<sequence>.<try>" to "<sequence>".
+// The part before the last separator: "<try>-<attempt>" to "<try>", "<request>.<try>" to "<request>".
 std::string before_last(const std::string& s, char mark) { return s.substr(0, s.rfind(mark)); }
 
-class Judge {
+class RuleChecker {
  public:
-  Judge(const std::vector<Line>& lines, const RuleBook& book) : lines_(lines), book_(book) {
-    out_.rules = {{1, "every sequence gets one final answer in time", 0, 0, ""},
-                  {2, "no effect happens twice", 0, 0, ""},
-                  {3, "drains are kept", 0, 0, ""},
-                  {4, "no cold worker is pushed over", 0, 0, ""},
-                  {5, "nothing is left pinned", 0, 0, ""}};
+  RuleChecker(const std::vector<Line>& lines, const RuleBook& book) : lines_(lines), book_(book) {
+    verdict_.rules = {{1, "every request gets one final answer in time", 0, 0, ""},
+                      {2, "no effect happens twice", 0, 0, ""},
+                      {3, "no request is sent to a draining worker", 0, 0, ""},
+                      {4, "no cold worker is overloaded", 0, 0, ""},
+                      {5, "no KV cache is held too long", 0, 0, ""}};
     for (const Line& l : lines_)
-      if (text(l, "e") == "router_killed") kills_[text(l, "router")].push_back(at(l));
+      if (text(l, "e") == "router_killed") router_kills_[text(l, "router")].push_back(at(l));
   }
 
-  Verdict all() {
-    answers();
-    effects();
-    drains();
-    colds();
-    pins();
-    tally();
-    return std::move(out_);
+  Verdict check() {
+    check_answers();
+    check_effects();
+    check_drains();
+    check_cold_starts();
+    check_kv_holds();
+    add_totals();
+    return std::move(verdict_);
   }
 
  private:
-  void look(int rule) { ++out_.rules[static_cast<std::size_t>(rule - 1)].looked_at; }
-  void offend(int rule, const std::string& what) {
-    Finding& f = out_.rules[static_cast<std::size_t>(rule - 1)];
-    if (f.offences++ == 0) f.first = what;
+  void count_checked(int rule) { ++verdict_.rules[static_cast<std::size_t>(rule - 1)].looked_at; }
+  void add_violation(int rule, const std::string& what) {
+    Finding& finding = verdict_.rules[static_cast<std::size_t>(rule - 1)];
+    if (finding.offences++ == 0) finding.first = what;
   }
   bool killed_between(const std::string& router, Nanos from, Nanos to) const {
-    const auto it = kills_.find(router);
-    return it != kills_.end() &&
+    const auto it = router_kills_.find(router);
+    return it != router_kills_.end() &&
            std::ranges::any_of(it->second, [&](Nanos t) { return t >= from && t <= to; });
   }
 
-  void answers() {
-    std::map<std::string, const Line*> asked;
+  void check_answers() {
+    std::map<std::string, const Line*> sent_by_id;
     std::map<std::string, int> finals;
-    std::map<std::string, Nanos> began;  // by try: when a writer made its first token
+    std::map<std::string, Nanos> first_token_at;  // by try: when a decode engine generated its first token
     for (const Line& l : lines_)
-      if (text(l, "e") == "ran") began.try_emplace(before_last(text(l, "id"), '-'), at(l));
+      if (text(l, "e") == "ran") first_token_at.try_emplace(before_last(text(l, "id"), '-'), at(l));
     for (const Line& l : lines_) {
-      if (text(l, "e") == "asked") asked[text(l, "id")] = &l;
+      if (text(l, "e") == "asked") sent_by_id[text(l, "id")] = &l;
       if (text(l, "e") != "final") continue;
       const std::string id = text(l, "id"), how = text(l, "how"), router = text(l, "router");
-      const auto it = asked.find(id);
-      if (it == asked.end()) {
-        offend(1, "an answer to what was not asked: " + l.dump());
+      const auto it = sent_by_id.find(id);
+      if (it == sent_by_id.end()) {
+        add_violation(1, "an answer to a request that was not sent: " + l.dump());
         continue;
       }
-      if (++finals[id] > 1) offend(1, "a second answer: " + l.dump());
-      look(1);
+      if (++finals[id] > 1) add_violation(1, "a second answer: " + l.dump());
+      count_checked(1);
       const Nanos abandon = it->second->value("abandon", Nanos{0}), took = l.value("took", Nanos{0});
       const Nanos first = l.value("first", Nanos{0});
       if (how == "left" || killed_between(router, at(*it->second), at(l) + 50'000'000)) continue;
       if (how == "silent" || how == "cut" || how == "garbled")
-        offend(1, how + ": " + l.dump());
-      else if (it->second->value("whole", false) && began.contains(id) &&
-               began[id] <= at(*it->second) + abandon)
-        continue;  // once it streams no deadline applies, and the client of a whole answer does not see that
+        add_violation(1, how + ": " + l.dump());
+      else if (it->second->value("whole", false) && first_token_at.contains(id) &&
+               first_token_at[id] <= at(*it->second) + abandon)
+        continue;  // no deadline after the first token, which the client of a complete answer does not see
       else if ((first > 0 ? first : took) > abandon + book_.answer_slack)
-        offend(1, "later than the client waits: " + l.dump());
+        add_violation(1, "after the client's deadline: " + l.dump());
     }
-    for (const auto& [id, line] : asked)
-      if (!finals.contains(id)) offend(1, "never ended: " + line->dump());
+    for (const auto& [id, line] : sent_by_id)
+      if (!finals.contains(id)) add_violation(1, "never ended: " + line->dump());
   }
 
-  void effects() {
+  void check_effects() {
     struct Ran {
       Nanos sent;
       std::string cell, zone, id;
@@ -90,183 +90,190 @@
     std::map<std::string, std::vector<Ran>> ran;  // by sequence
     std::map<std::string, std::string> type_of;   // by sequence
     std::map<std::string, Nanos> sent;            // by attempt
-    std::map<std::string, std::set<std::string>> ran_tries;
+    std::map<std::string, std::set<std::string>> tries_that_ran;
     for (const Line& l : lines_) {
       const std::string e = text(l, "e");
       if (e == "asked") type_of[text(l, "sequence")] = text(l, "type");
-      const std::string a_try = before_last(text(l, "id"), '-'), sequence = before_last(a_try, '.');
+      const std::string try_id = before_last(text(l, "id"), '-'), sequence = before_last(try_id, '.');
       if (e == "in") sent[text(l, "id")] = at(l);
       if (e != "ran") continue;
-      look(2);
+      count_checked(2);
       const auto in = sent.find(text(l, "id"));
       ran[sequence].push_back(
           {in == sent.end() ? at(l) : in->second, text(l, "cell"), text(l, "zone"), l.dump()});
-      ran_tries[sequence].insert(a_try);
+      tries_that_ran[sequence].insert(try_id);
     }
     for (const auto& [sequence, list] : ran) {
-      const auto known = book_.types.find(type_of[sequence]);
-      if (known == book_.types.end()) continue;
-      const RuleBook::Type& t = known->second;
-      if (t.effect == Effect::once_only && list.size() > 1)
-        offend(2, "a once-only sequence ran again: " + list[1].id);
-      if (t.effect != Effect::tokened) continue;
+      const auto rules = book_.types.find(type_of[sequence]);
+      if (rules == book_.types.end()) continue;
+      const RuleBook::Type& type = rules->second;
+      if (type.effect == Effect::once_only && list.size() > 1)
+        add_violation(2, "a once-only request ran again: " + list[1].id);
+      if (type.effect != Effect::tokened) continue;
       for (std::size_t i = 1; i < list.size(); ++i) {
         const bool in_group =
-            t.group == Group::all ||
-            (t.group == Group::zone ? list[i].zone == list[0].zone : list[i].cell == list[0].cell);
-        if (!in_group) offend(2, "a tokened sequence ran outside its group: " + list[i].id);
-        if (list[i].sent > list[0].sent + t.window)
-          offend(2, "a tokened sequence was sent again past its window, and ran: " + list[i].id);
+            type.group == Group::all ||
+            (type.group == Group::zone ? list[i].zone == list[0].zone : list[i].cell == list[0].cell);
+        if (!in_group) add_violation(2, "a tokened request ran outside its group: " + list[i].id);
+        if (list[i].sent > list[0].sent + type.window)
+          add_violation(2, "a tokened request was sent again after its window and ran: " + list[i].id);
       }
     }
     for (const Line& l : lines_) {
       if (text(l, "e") != "final" || text(l, "how") != "rejected") continue;
-      const auto known = book_.types.find(text(l, "type"));
-      if (known == book_.types.end()) continue;
-      const RuleBook::Type& t = known->second;
+      const auto rules = book_.types.find(text(l, "type"));
+      if (rules == book_.types.end()) continue;
+      const RuleBook::Type& type = rules->second;
       const bool harmless =
-          t.effect == Effect::repeatable || (t.effect == Effect::tokened && t.group == Group::all);
-      if (!harmless && ran_tries[text(l, "sequence")].contains(text(l, "id")))
-        offend(2, "rejected, but it had run: " + l.dump());
+          type.effect == Effect::repeatable || (type.effect == Effect::tokened && type.group == Group::all);
+      if (!harmless && tries_that_ran[text(l, "sequence")].contains(text(l, "id")))
+        add_violation(2, "rejected, but it had run: " + l.dump());
     }
   }
 
-  void drains() {
-    struct Told {
+  void check_drains() {
+    struct Notified {
       Nanos at;
       bool ready;
     };
-    std::map<std::string, std::map<std::string, Told>> told;  // by router and engine
+    std::map<std::string, std::map<std::string, Notified>> notified;  // by router and engine
     for (const Line& l : lines_) {
       const std::string e = text(l, "e"), router = text(l, "router");
       if (e == "told") {
-        auto& known = told[router];
+        auto& known = notified[router];
         const Line& workers = l.at("workers");
         if (l.value("complete", false))
-          for (auto& [engine, state] : known)
-            if (!workers.contains(engine) && state.ready) state = {at(l), false};
-        for (const auto& [engine, state] : workers.items()) {
-          const bool ready = state == "ready";
+          for (auto& [engine, worker] : known)
+            if (!workers.contains(engine) && worker.ready) worker = {at(l), false};
+        for (const auto& [engine, worker] : workers.items()) {
+          const bool ready = worker == "ready";
           const auto it = known.find(engine);
           if (it == known.end() || it->second.ready != ready) known[engine] = {at(l), ready};
         }
       }
       if (e != "in") continue;
-      look(3);
-      const auto& known = told[router];
+      count_checked(3);
+      const auto& known = notified[router];
       const auto it = known.find(text(l, "engine"));
       if (it != known.end() && !it->second.ready && at(l) - it->second.at > book_.drain_grace)
-        offend(3, fmt::format("sent {} ms after it was told: {}", (at(l) - it->second.at) / 1'000'000,
-                              l.dump()));
+        add_violation(3, fmt::format("sent {} ms after the router was notified: {}",
+                                     (at(l) - it->second.at) / 1'000'000, l.dump()));
     }
   }
 
-  void colds() {
+  void check_cold_starts() {
     for (const Line& l : lines_) {
-      if (text(l, "e") == "up") look(4);
-      if (text(l, "e") == "fell") offend(4, l.dump());
+      if (text(l, "e") == "up") count_checked(4);
+      if (text(l, "e") == "fell") add_violation(4, l.dump());
     }
   }
 
-  void pins() {
-    struct Held {
+  void check_kv_holds() {
+    struct HeldKv {
       Nanos since{};
       std::string router;
-      std::set<std::string> out;  // write attempts that name it
+      std::set<std::string> decodes;  // decode attempts in flight that name it
       std::string engine;
     };
-    std::map<std::string, Held> held;
-    std::map<std::string, std::pair<std::string, std::string>> writes;  // attempt: state, engine
-    const auto gap_ends = [&](const std::string& id, const Held& h, const Line& l) {
-      if (!h.out.empty() || at(l) - h.since <= book_.pin_limit + book_.pin_slack) return;
-      if (killed_between(h.router, h.since - 30'000'000'000, at(l))) return;  // no longer that router's duty
-      offend(5, fmt::format("state {} waited {} ms: {}", id, (at(l) - h.since) / 1'000'000, l.dump()));
+    std::map<std::string, HeldKv> held;
+    // By decode attempt: the request whose KV cache it uses, and the engine.
+    std::map<std::string, std::pair<std::string, std::string>> decodes;
+    const auto check_hold_time = [&](const std::string& id, const HeldKv& kv, const Line& l) {
+      if (!kv.decodes.empty() || at(l) - kv.since <= book_.pin_limit + book_.pin_slack) return;
+      // A router that was killed cannot release what its requests left.
+      if (killed_between(kv.router, kv.since - 30'000'000'000, at(l))) return;
+      add_violation(
+          5, fmt::format("KV cache {} was held {} ms: {}", id, (at(l) - kv.since) / 1'000'000, l.dump()));
     };
-    const auto write_over = [&](const std::string& attempt, Nanos when) {
-      const auto w = writes.find(attempt);
-      if (w == writes.end()) return;
-      const auto it = held.find(w->second.first);
+    const auto decode_ended = [&](const std::string& attempt, Nanos when) {
+      const auto decode = decodes.find(attempt);
+      if (decode == decodes.end()) return;
+      const auto it = held.find(decode->second.first);
       if (it != held.end()) {
-        it->second.out.erase(attempt);
-        if (it->second.out.empty()) it->second.since = when;
+        it->second.decodes.erase(attempt);
+        if (it->second.decodes.empty()) it->second.since = when;
       }
-      writes.erase(w);
+      decodes.erase(decode);
     };
     for (const Line& l : lines_) {
       const std::string e = text(l, "e"), id = text(l, "id"), engine = text(l, "engine");
       if (e == "held") {
-        look(5);
+        count_checked(5);
         held[id] = {at(l), text(l, "router"), {}, engine};
       } else if (e == "in" && !text(l, "state").empty()) {
-        const std::string state = text(l, "state");
-        if (const auto it = held.find(state); it != held.end()) {
-          gap_ends(state, it->second, l);
-          it->second.out.insert(id);
-          writes[id] = {state, engine};
+        const std::string kv_id = text(l, "state");
+        if (const auto it = held.find(kv_id); it != held.end()) {
+          check_hold_time(kv_id, it->second, l);
+          it->second.decodes.insert(id);
+          decodes[id] = {kv_id, engine};
         }
       } else if (e == "out") {
-        write_over(id, at(l));
-      } else if (e == "down") {  // what a dead engine had in hand ended there
+        decode_ended(id, at(l));
+      } else if (e == "down") {  // the decode attempts at a stopped engine end
         std::vector<std::string> over;
-        for (const auto& [attempt, write] : writes)
-          if (write.second == engine) over.push_back(attempt);
-        for (const std::string& attempt : over) write_over(attempt, at(l));
+        for (const auto& [attempt, decode] : decodes)
+          if (decode.second == engine) over.push_back(attempt);
+        for (const std::string& attempt : over) decode_ended(attempt, at(l));
       } else if (e == "taken" || e == "freed" || e == "lost" || e == "expired") {
         const auto it = held.find(id);
         if (it == held.end() || it->second.engine != engine) continue;
-        if (e != "lost") gap_ends(id, it->second, l);
+        if (e != "lost") check_hold_time(id, it->second, l);
         held.erase(it);
       }
     }
     if (lines_.empty()) return;
-    for (const auto& [id, h] : held) gap_ends(id, h, lines_.back());
+    for (const auto& [id, kv] : held) check_hold_time(id, kv, lines_.back());
   }
 
-  void tally() {
-    struct Lineage {
-      std::string type, how;
-      Nanos first_asked{}, answered{}, slo{};
+  void add_totals() {
+    struct RequestHistory {
+      std::string type, outcome;
+      Nanos first_sent{}, answered{}, slo{};
     };
-    std::map<std::string, Lineage> all;
-    std::map<std::string, Nanos> asked;
+    std::map<std::string, RequestHistory> requests;
+    std::map<std::string, Nanos> sent_by_id;
     for (const Line& l : lines_) {
       const std::string e = text(l, "e");
       if (e != "asked" && e != "unreached" && e != "final") continue;
-      Lineage& s = all[text(l, "sequence")];
-      s.type = text(l, "type");
+      RequestHistory& history = requests[text(l, "sequence")];
+      history.type = text(l, "type");
       if (e == "asked") {
-        if (s.first_asked == 0) s.first_asked = at(l), s.slo = l.value("slo", Nanos{0});
-        asked[text(l, "id")] = at(l);
+        if (history.first_sent == 0) {
+          history.first_sent = at(l);
+          history.slo = l.value("slo", Nanos{0});
+        }
+        sent_by_id[text(l, "id")] = at(l);
       }
-      if (e == "unreached" && s.how.empty()) s.how = "unreached";
+      if (e == "unreached" && history.outcome.empty()) history.outcome = "unreached";
       if (e == "final") {
-        s.how = text(l, "how");
-        if (s.how == "generated" || s.how == "left") {
+        history.outcome = text(l, "how");
+        if (history.outcome == "generated" || history.outcome == "left") {
           const Nanos first = l.value("first", Nanos{0});
-          s.answered = asked[text(l, "id")] + first;
+          history.answered = sent_by_id[text(l, "id")] + first;
         }
       }
     }
-    for (const auto& [id, s] : all) {
-      TypeTally& t = out_.types[s.type];
-      const auto known = book_.types.find(s.type);
-      const RuleBook::Type type = known == book_.types.end() ? RuleBook::Type{} : known->second;
-      ++t.sequences, ++t.how[s.how.empty() ? "unended" : s.how];
-      t.asked_worth += type.utility;
-      if (s.answered == 0) continue;
-      const Nanos first = s.answered - s.first_asked;
-      t.first.push_back(first);
-      const bool in_time = first <= s.slo;
-      t.in_slo += in_time;
-      t.worth += type.utility * (in_time ? 1 : type.late_share);
+    for (const auto& [id, history] : requests) {
+      TypeTotals& totals = verdict_.types[history.type];
+      const auto rules = book_.types.find(history.type);
+      const RuleBook::Type type = rules == book_.types.end() ? RuleBook::Type{} : rules->second;
+      ++totals.requests;
+      ++totals.outcomes[history.outcome.empty() ? "unended" : history.outcome];
+      totals.possible_utility += type.utility;
+      if (history.answered == 0) continue;
+      const Nanos first = history.answered - history.first_sent;
+      totals.first.push_back(first);
+      const bool in_time = first <= history.slo;
+      totals.in_slo += in_time;
+      totals.earned_utility += type.utility * (in_time ? 1 : type.late_share);
     }
-    for (auto& [name, t] : out_.types) std::ranges::sort(t.first);
+    for (auto& [name, totals] : verdict_.types) std::ranges::sort(totals.first);
   }
 
   const std::vector<Line>& lines_;
   const RuleBook& book_;
-  std::map<std::string, std::vector<Nanos>> kills_;
-  Verdict out_;
+  std::map<std::string, std::vector<Nanos>> router_kills_;
+  Verdict verdict_;
 };
 
 double percentile_ms(const std::vector<Nanos>& sorted, double p) {
@@ -278,41 +285,46 @@
 }  // namespace
 
 bool Verdict::kept() const {
-  return std::ranges::all_of(rules, [](const Finding& f) { return f.offences == 0; });
+  return std::ranges::all_of(rules, [](const Finding& finding) { return finding.offences == 0; });
 }
 
 double Verdict::utility() const {
-  double worth = 0, asked = 0;
-  for (const auto& [name, t] : types) worth += t.worth, asked += t.asked_worth;
-  return asked == 0 ? 0 : worth / asked;
+  double earned = 0, possible = 0;
+  for (const auto& [name, totals] : types) {
+    earned += totals.earned_utility;
+    possible += totals.possible_utility;
+  }
+  return possible == 0 ? 0 : earned / possible;
 }
 
 std::string Verdict::text() const {
   std::string out;
-  for (const Finding& f : rules) {
-    out += fmt::format("rule {}: {:<46} {:>6} looked at, {:>4} offences  {}\n", f.rule, f.name, f.looked_at,
-                       f.offences, f.offences == 0 ? "kept" : "BROKEN");
-    if (f.offences > 0) out += "        first: " + f.first + "\n";
+  for (const Finding& finding : rules) {
+    out += fmt::format("rule {}: {:<46} {:>6} checked, {:>4} violations  {}\n", finding.rule, finding.name,
+                       finding.looked_at, finding.offences, finding.offences == 0 ? "kept" : "BROKEN");
+    if (finding.offences > 0) out += "        first: " + finding.first + "\n";
   }
-  static constexpr const char* kColumns[] = {"generated", "rejected", "aborted", "broken",
-                                             "refused",   "left",     "cut",     "unreached"};
+  static constexpr const char* kOutcomes[] = {"generated", "rejected", "aborted", "broken",
+                                              "refused",   "left",     "cut",     "unreached"};
   out += fmt::format("\n{:<16}{:>9}", "traffic type", "asked");
-  for (const char* c : kColumns) out += fmt::format("{:>10}", c);
+  for (const char* outcome : kOutcomes) out += fmt::format("{:>10}", outcome);
   out += fmt::format("{:>9}{:>9}{:>9}{:>9}\n", "in SLO", "utility", "p50 ms", "p99 ms");
-  for (const auto& [name, t] : types) {
-    out += fmt::format("{:<16}{:>9}", name, t.sequences);
-    for (const char* c : kColumns) out += fmt::format("{:>10}", t.how.contains(c) ? t.how.at(c) : 0);
-    out += fmt::format("{:>9}{:>9.3f}{:>9.0f}{:>9.0f}\n", t.in_slo,
-                       t.asked_worth == 0 ? 0 : t.worth / t.asked_worth, percentile_ms(t.first, 0.5),
-                       percentile_ms(t.first, 0.99));
+  for (const auto& [name, totals] : types) {
+    out += fmt::format("{:<16}{:>9}", name, totals.requests);
+    for (const char* outcome : kOutcomes)
+      out += fmt::format("{:>10}", totals.outcomes.contains(outcome) ? totals.outcomes.at(outcome) : 0);
+    out += fmt::format("{:>9}{:>9.3f}{:>9.0f}{:>9.0f}\n", totals.in_slo,
+                       totals.possible_utility == 0 ? 0 : totals.earned_utility / totals.possible_utility,
+                       percentile_ms(totals.first, 0.5), percentile_ms(totals.first, 0.99));
   }
-  out += fmt::format("\nutility answered within the latency SLO, late answers in part: {:.3f}\n", utility());
+  out +=
+      fmt::format("\nutility of answers within the latency SLO, late answers in part: {:.3f}\n", utility());
   return out;
 }
 
 Verdict judge(std::vector<Line> lines, const RuleBook& book) {
   std::ranges::stable_sort(lines, {}, [](const Line& l) { return at(l); });
-  return Judge(lines, book).all();
+  return RuleChecker(lines, book).check();
 }
 
 }  // namespace cressrill::rig
--- a/rig/verdict.h
+++ b/rig/verdict.h
@@ -1,4 +1,5 @@
-// Judges the five rules from what clients, engines and roster noted, and from nothing else. No sockets, no clock.
+// Checks the five rules against what clients, engines and the discovery stand-in recorded, and against
+// nothing else. It uses neither sockets nor a clock.
 #pragma once
 
 #include <map>
@@ -10,47 +11,50 @@
 
 namespace cressrill::rig {
 
+// The limits that the rules are checked with.
 struct RuleBook {
-  Nanos answer_slack = 8'000'000;  // how late an answer may be seen by its client
-  Nanos drain_grace{};
-  Nanos pin_limit{};
-  Nanos pin_slack = 8'000'000;
+  Nanos answer_slack = 8'000'000;  // how late a client may see an answer that was sent in time
+  Nanos drain_grace{};          // how long requests may still arrive after a router was notified of a drain
+  Nanos pin_limit{};            // how long KV cache may be held while no decode attempt uses it
+  Nanos pin_slack = 8'000'000;  // tolerance of pin_limit
   struct Type {
     Effect effect{};
     Group group{};
     Nanos window{};
     double utility{1};
-    double late_share{0.2};  // what an answer after its latency SLO is still worth
+    double late_share{0.2};  // share of its utility that an answer after its latency SLO is still worth
   };
   std::map<std::string, Type> types;
 };
 
+// The result of one rule.
 struct Finding {
   int rule{};
   std::string name;
-  std::size_t looked_at{};
+  std::size_t looked_at{};  // events that the rule applied to
   std::size_t offences{};
-  std::string first;  // the first offence in full
+  std::string first;  // the first violation in full
 };
 
-struct TypeTally {
-  std::map<std::string, std::size_t> how;  // last word to each sequence
-  std::size_t sequences{};
+// Totals of one traffic type.
+struct TypeTotals {
+  std::map<std::string, std::size_t> outcomes;  // requests by their final outcome
+  std::size_t requests{};
   std::size_t in_slo{};
-  double worth{};
-  double asked_worth{};
-  std::vector<Nanos> first;  // sorted
+  double earned_utility{};    // of the answers
+  double possible_utility{};  // if every request were answered within its SLO
+  std::vector<Nanos> first;   // times to first token, sorted
 };
 
 struct Verdict {
   std::vector<Finding> rules;
-  std::map<std::string, TypeTally> types;
+  std::map<std::string, TypeTotals> types;
   bool kept() const;
-  double utility() const;
+  double utility() const;  // earned share of the possible utility of all types
   std::string text() const;
 };
 
-// The lines in any order; they are sorted by their stamps.
+// Takes the records in any order: they are sorted by their timestamps.
 Verdict judge(std::vector<Recorder::Line> lines, const RuleBook& book);
 
 }  // namespace cressrill::rig
