--- a/rig/client.cpp
+++ b/rig/client.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-constexpr io::Nanos kPatience =
-    400 * io::kMs;  // how long past its time a client listens, to catch a late answer
-constexpr io::Nanos kWholeTakes =
-    30 * io::kSecond;  // a whole answer comes at its end: its first token is not seen
+// How long a client goes on reading after its time limit, so that a late answer is recorded.
+constexpr io::Nanos kLateAnswerGrace = 400 * io::kMs;
+// Added to the time limit of a complete answer: it comes after its last token, and the limit applies to the
+// first.
+constexpr io::Nanos kCompleteAnswerGrace = 30 * io::kSecond;
 
-// Checks that the stand-ins' tokens come whole and in order: "t0 t1 t2 ".
+// Checks that the stand-ins' tokens arrive complete and in order: "t0 t1 t2 ".
 class TokenCheck {
  public:
   void add(std::string_view text) {
     while (!text.empty()) {
-      const std::string want = "t" + std::to_string(count_) + " ";
-      if (!text.starts_with(want)) {
+      const std::string expected = "t" + std::to_string(count_) + " ";
+      if (!text.starts_with(expected)) {
         ok_ = false;
         return;
       }
-      text.remove_prefix(want.size());
+      text.remove_prefix(expected.size());
       ++count_;
     }
   }
@@ -42,20 +43,20 @@
   return "";
 }
 
-void take_event(std::string_view data, Heard& to, TokenCheck& check, bool& ended) {
+void handle_event(std::string_view data, Heard& result, TokenCheck& check, bool& ended) {
   if (data == "[DONE]") {
-    if (to.how.empty()) to.how = "generated";
+    if (result.how.empty()) result.how = "generated";
     ended = true;
     return;
   }
   const json all = json::parse(data, nullptr, false);
   if (all.is_object() && all.contains("error")) {
-    to.how = ended ? "garbled" : "broken";
+    result.how = ended ? "garbled" : "broken";
     ended = true;
     return;
   }
   if (ended || !all.is_object() || !all.contains("choices")) {
-    to.how = "garbled";
+    result.how = "garbled";
     return;
   }
   for (const json& choice : all["choices"]) check.add(text_of(choice));
@@ -63,104 +64,114 @@
 
 }  // namespace
 
-io::Task<Heard> ask(io::Loop& loop, Recorder& record, Question q) {
-  const io::Nanos asked = loop.now();
-  Heard out;
-  const auto done = [&](const char* how, Recorder::Line more = Recorder::Line::object()) {
-    out.how = how;
-    out.took = loop.now() - asked;
-    Recorder::Line line{
-        {"id", q.id},          {"sequence", q.sequence}, {"router", q.router}, {"type", q.type},
-        {"how", how},          {"status", out.status},   {"first", out.first}, {"took", out.took},
-        {"tokens", out.tokens}};
-    line.update(more);
+io::Task<Heard> ask(io::Loop& loop, Recorder& record, Question request) {
+  const io::Nanos started = loop.now();
+  Heard result;
+  const auto finish = [&](const char* how, Recorder::Line fields = Recorder::Line::object()) {
+    result.how = how;
+    result.took = loop.now() - started;
+    Recorder::Line line{{"id", request.id},
+                        {"sequence", request.sequence},
+                        {"router", request.router},
+                        {"type", request.type},
+                        {"how", how},
+                        {"status", result.status},
+                        {"first", result.first},
+                        {"took", result.took},
+                        {"tokens", result.tokens}};
+    line.update(fields);
     record.note("final", std::move(line));
-    return out;
+    return result;
   };
   io::Socket socket;
   const auto connected =
-      co_await io::with_deadline(loop, asked + io::kSecond, io::connect(loop, q.at, socket));
+      co_await io::with_deadline(loop, started + io::kSecond, io::connect(loop, request.at, socket));
   if (!connected || !connected->ok()) {
-    out.took = loop.now() - asked;
-    out.how = "unreached";
-    record.note("unreached",
-                {{"id", q.id}, {"sequence", q.sequence}, {"router", q.router}, {"type", q.type}});
-    co_return out;
+    result.took = loop.now() - started;
+    result.how = "unreached";
+    record.note("unreached", {{"id", request.id},
+                              {"sequence", request.sequence},
+                              {"router", request.router},
+                              {"type", request.type}});
+    co_return result;
   }
   std::string fields =
-      fmt::format("content-type: application/json\r\nx-request-id: {}\r\nx-abandon-after-ms: {}\r\n", q.id,
-                  q.abandon / io::kMs);
-  if (!q.key.empty()) fields += "authorization: Bearer " + q.key + "\r\n";
-  if (!q.mark.empty()) fields += "idempotency-key: " + q.mark + "\r\n";
-  const std::string text = http::format_request("POST", q.path, q.at.to_string(), fields, q.body);
-  record.note("asked", {{"id", q.id},
-                        {"sequence", q.sequence},
-                        {"router", q.router},
-                        {"type", q.type},
-                        {"mark", q.mark},
-                        {"whole", !q.stream},
-                        {"abandon", q.abandon},
-                        {"slo", q.slo}});
+      fmt::format("content-type: application/json\r\nx-request-id: {}\r\nx-abandon-after-ms: {}\r\n",
+                  request.id, request.abandon / io::kMs);
+  if (!request.key.empty()) fields += "authorization: Bearer " + request.key + "\r\n";
+  if (!request.mark.empty()) fields += "idempotency-key: " + request.mark + "\r\n";
+  const std::string text =
+      http::format_request("POST", request.path, request.at.to_string(), fields, request.body);
+  record.note("asked", {{"id", request.id},
+                        {"sequence", request.sequence},
+                        {"router", request.router},
+                        {"type", request.type},
+                        {"mark", request.mark},
+                        {"whole", !request.stream},
+                        {"abandon", request.abandon},
+                        {"slo", request.slo}});
   http::MessageReader reader(socket, http::MessageKind::response);
-  const io::IoResult moved = co_await socket.write_all(text);
-  if (!moved.ok()) co_return done("cut");
-  const io::Nanos deadline = asked + q.abandon + kPatience + (q.stream ? 0 : kWholeTakes);
+  const io::IoResult written = co_await socket.write_all(text);
+  if (!written.ok()) co_return finish("cut");
+  const io::Nanos deadline =
+      started + request.abandon + kLateAnswerGrace + (request.stream ? 0 : kCompleteAnswerGrace);
   http::Head head;
-  const auto headed = co_await io::with_deadline(loop, deadline, reader.read_head(head));
-  if (!headed) co_return done("silent");
-  if (*headed != http::MessageError::none) co_return done("cut");
-  out.status = head.status;
+  const auto head_error = co_await io::with_deadline(loop, deadline, reader.read_head(head));
+  if (!head_error) co_return finish("silent");
+  if (*head_error != http::MessageError::none) co_return finish("cut");
+  result.status = head.status;
   if (const auto after = head.field("retry-after-ms"))
-    out.retry_after = std::atoll(std::string(*after).c_str()) * io::kMs;
+    result.retry_after = std::atoll(std::string(*after).c_str()) * io::kMs;
   TokenCheck check;
-  if (head.status == 200 && q.stream) {
+  if (head.status == 200 && request.stream) {
     http::SseParser events;
     bool ended = false;
     io::Nanos leave_at = INT64_MAX;
     while (reader.has_more()) {
       std::span<const std::string_view> pieces;
-      const io::Nanos until = out.first == 0 ? deadline : std::min(leave_at, loop.now() + 60 * io::kSecond);
-      const auto got = co_await io::with_deadline(loop, until, reader.read_body_pieces(pieces));
-      if (!got) {
-        out.tokens = check.count();
-        co_return done(out.first == 0 ? "silent" : "left");
+      const io::Nanos until =
+          result.first == 0 ? deadline : std::min(leave_at, loop.now() + 60 * io::kSecond);
+      const auto body_error = co_await io::with_deadline(loop, until, reader.read_body_pieces(pieces));
+      if (!body_error) {
+        result.tokens = check.count();
+        co_return finish(result.first == 0 ? "silent" : "left");
       }
-      if (out.first == 0 && !pieces.empty()) {
-        out.first = loop.now() - asked;
-        if (q.on_first) q.on_first();
-        if (q.leave_after_first > 0) leave_at = loop.now() + q.leave_after_first;
+      if (result.first == 0 && !pieces.empty()) {
+        result.first = loop.now() - started;
+        if (request.on_first) request.on_first();
+        if (request.leave_after_first > 0) leave_at = loop.now() + request.leave_after_first;
       }
       for (const std::string_view piece : pieces) {
         events.feed(piece);
-        while (const auto data = events.next()) take_event(*data, out, check, ended);
+        while (const auto data = events.next()) handle_event(*data, result, check, ended);
       }
-      if (*got != http::MessageError::none && out.how.empty()) {
-        out.tokens = check.count();
-        co_return done("cut");
+      if (*body_error != http::MessageError::none && result.how.empty()) {
+        result.tokens = check.count();
+        co_return finish("cut");
       }
-      if (*got != http::MessageError::none) break;
+      if (*body_error != http::MessageError::none) break;
     }
-    out.tokens = check.count();
-    if (events.pending_bytes() > 0 || reader.has_leftover() || !check.ok()) co_return done("garbled");
-    co_return done(out.how.empty() ? "cut" : std::string(out.how).c_str());
+    result.tokens = check.count();
+    if (events.pending_bytes() > 0 || reader.has_leftover() || !check.ok()) co_return finish("garbled");
+    co_return finish(result.how.empty() ? "cut" : std::string(result.how).c_str());
   }
   std::string body;
   const auto rest = co_await io::with_deadline(loop, deadline + 60 * io::kSecond, reader.read_body(body));
-  if (!rest || *rest != http::MessageError::none) co_return done("cut");
+  if (!rest || *rest != http::MessageError::none) co_return finish("cut");
   const json all = json::parse(body, nullptr, false);
   if (head.status == 200) {
-    out.first = loop.now() - asked;
+    result.first = loop.now() - started;
     if (all.is_object() && all.contains("choices"))
       for (const json& choice : all["choices"]) check.add(text_of(choice));
-    out.tokens = check.count();
-    co_return done(check.ok() && check.count() > 0 && !reader.has_leftover() ? "generated" : "garbled");
+    result.tokens = check.count();
+    co_return finish(check.ok() && check.count() > 0 && !reader.has_leftover() ? "generated" : "garbled");
   }
   const std::string code = all.is_object() && all.contains("error") && all["error"].is_object()
                                ? all["error"].value("code", "")
                                : "";
-  if (reader.has_leftover() || code.empty()) co_return done("garbled");
-  if (head.status == 503) co_return done("rejected");
-  co_return done(head.status < 500 ? "refused" : "aborted", {{"code", code}});
+  if (reader.has_leftover() || code.empty()) co_return finish("garbled");
+  if (head.status == 503) co_return finish("rejected");
+  co_return finish(head.status < 500 ? "refused" : "aborted", {{"code", code}});
 }
 
 }  // namespace cressrill::rig
--- a/rig/client.h
+++ b/rig/client.h
@@ -1,4 +1,5 @@
-// A client of the router, as the days and the tests have many: asks once, reads what comes, notes both.
+// A client of the router, for scenarios, tests and measurements: sends one request, reads the response, and
+// records both.
 #pragma once
 
 #include <functional>
@@ -11,32 +12,36 @@
 
 struct Question {
   std::string id;        // of this try
-  std::string sequence;  // the same for all tries
-  std::string router;    // its name
-  io::Address at;
+  std::string sequence;  // of the request: the same for all its tries
+  std::string router;    // name of the router it is sent to
+  io::Address at;        // address of that router
   std::string type;
   std::string key;   // bearer key of a tenant; empty: none
-  std::string mark;  // of a tokened sequence
+  std::string mark;  // idempotency key; empty: none
   std::string path = "/v1/chat/completions";
   std::string body;
   bool stream{true};
-  io::Nanos abandon{};
-  io::Nanos slo{};
-  std::function<void()> on_first;  // told when the first token comes; may be empty
-  io::Nanos leave_after_first{};   // the client leaves so long after its first token; 0: stays
+  io::Nanos abandon{};             // time limit that is sent with the request
+  io::Nanos slo{};                 // only recorded
+  std::function<void()> on_first;  // called at the first token; may be empty
+  io::Nanos
+      leave_after_first{};  // the client closes the connection this long after the first token; 0: never
 };
 
 struct Heard {
-  // generated, rejected, aborted, broken (an error ended the stream), refused (4xx), cut (no end came), unreached,
-  // silent (nothing in time), left, garbled
+  // The outcome: generated, rejected, aborted, broken (an error event ended the stream), refused (4xx), cut
+  // (the connection ended before the response did), unreached (no connection), silent (no response in time),
+  // left (the client closed the connection) or garbled (the response is malformed).
   std::string how;
   int status{};
-  io::Nanos first{};  // from the question to the first token; 0: none came
+  io::Nanos first{};  // from the start of the request to the first token; 0: none came
   io::Nanos took{};
   io::Nanos retry_after{};
   std::size_t tokens{};
 };
 
+// Sends the request on a new connection and suspends until its response has ended or the client gives up.
+// Each outcome is recorded as one "final" or "unreached" event.
 io::Task<Heard> ask(io::Loop& loop, Recorder& record, Question question);
 
 }  // namespace cressrill::rig
