--- a/rig/fleet_file.h
+++ b/rig/fleet_file.h
@@ -1,4 +1,5 @@
-// The TOML file of a stand-in fleet: [[engine]] tables, each of one engine or, by 'count', of several alike.
+// The TOML file of a stand-in fleet: [[engine]] tables, each for one engine or, with 'count', for several
+// equal ones.
 #pragma once
 
 #include "core/checked_toml.h"
@@ -7,9 +8,10 @@
 
 namespace cressrill::rig {
 
-// Reads the [[engine]] tables of a file that may hold more. Names of several are name-0, name-1 ...; addresses are
-// given by the caller, host by host, where the file gives none.
+// Reads the [[engine]] tables and leaves the others to the caller. Engines of a table with 'count' are named
+// name-0, name-1 and so on. An engine without an address gets one from the caller.
 std::vector<EngineMake> read_engines(core::TomlTable& root);
-core::ListedWorker listed(const Engine& engine, WorkerStatus standing);
+// The entry of an engine in the worker list.
+core::ListedWorker listed(const Engine& engine, WorkerStatus status);
 
 }  // namespace cressrill::rig
--- a/rig/roster.cpp
+++ b/rig/roster.cpp
@@ -16,19 +16,19 @@
   watchers_.clear();
 }
 
-void Roster::change(core::ListedWorker worker) { scope_.spawn(publish(std::move(worker), late_)); }
+void Roster::change(core::ListedWorker worker) { scope_.spawn(publish(std::move(worker), delay_)); }
 
-io::Task<> Roster::publish(core::ListedWorker worker, io::Nanos after) {
-  if (after > 0) co_await loop_.sleep_for(after);
+io::Task<> Roster::publish(core::ListedWorker worker, io::Nanos delay) {
+  if (delay > 0) co_await loop_.sleep_for(delay);
   if (worker.status == WorkerStatus::gone)
     list_.erase(worker.name);
   else
     list_[worker.name] = worker;
   changes_.push_back(std::move(worker));
-  for (Watcher* w : watchers_) w->news.notify();
+  for (Watcher* watcher : watchers_) watcher->published.notify();
 }
 
-void Roster::note(const std::string& router, const core::WorkerList& list) {
+void Roster::record_sent(const std::string& router, const core::WorkerList& list) {
   nlohmann::ordered_json all = nlohmann::ordered_json::object();
   for (const auto& w : list.workers) all[w.name] = core::to_string(w.status);
   record_.note("told", {{"router", router}, {"complete", list.complete}, {"workers", all}});
@@ -36,9 +36,9 @@
 
 io::Task<> Roster::serve(http::Request& request, http::ResponseWriter& answer) {
   const std::string target(request.head.target);
-  constexpr std::string_view kWatch = "/v1/workers?watch=";
-  if (request.head.method == "GET" && target.starts_with(kWatch)) {
-    const std::string router = target.substr(kWatch.size());
+  constexpr std::string_view kWatchTarget = "/v1/workers?watch=";
+  if (request.head.method == "GET" && target.starts_with(kWatchTarget)) {
+    const std::string router = target.substr(kWatchTarget.size());
     co_await watch(router, answer);
     co_return;
   }
@@ -50,13 +50,13 @@
     co_return;
   }
   if (request.head.method == "POST" && target == "/v1/workers") {
-    std::string wrong;
+    std::string error;
     try {
       for (auto& w : core::parse_worker_list(request.body).workers) change(w);
     } catch (const std::invalid_argument& e) {
-      wrong = e.what();
+      error = e.what();
     }
-    co_await answer.respond(wrong.empty() ? 200 : 400, "content-type: text/plain\r\n", wrong);
+    co_await answer.respond(error.empty() ? 200 : 400, "content-type: text/plain\r\n", error);
     co_return;
   }
   if (request.head.method == "POST" && target.starts_with("/late?ms=")) {
@@ -68,26 +68,27 @@
 }
 
 io::Task<> Roster::watch(const std::string& router, http::ResponseWriter& answer) {
-  Watcher me(loop_);
-  me.router = router;
-  watchers_.push_back(&me);
-  struct Leave {
+  Watcher self(loop_);
+  self.router = router;
+  watchers_.push_back(&self);
+  struct Unregister {
     std::vector<Watcher*>& list;
-    Watcher* who;
-    ~Leave() { std::erase(list, who); }
-  } leave{watchers_, &me};
+    Watcher* watcher;
+    ~Unregister() { std::erase(list, watcher); }
+  } unregister{watchers_, &self};
   core::WorkerList next{changes_.size(), true, {}};
   for (const auto& [name, w] : list_) next.workers.push_back(w);
-  me.told = changes_.size();
+  self.next_change = changes_.size();
   co_await answer.begin_stream(200, "content-type: application/x-ndjson\r\n");
   for (;;) {
-    note(router, next);
+    record_sent(router, next);
     const std::string line = core::serialize_worker_list(next) + "\n";
     if (!co_await answer.write_chunk(line)) co_return;
-    while (me.told == changes_.size()) co_await me.news.wait();
-    next = {
-        changes_.size(), false, {changes_.begin() + static_cast<std::ptrdiff_t>(me.told), changes_.end()}};
-    me.told = changes_.size();
+    while (self.next_change == changes_.size()) co_await self.published.wait();
+    next = {changes_.size(),
+            false,
+            {changes_.begin() + static_cast<std::ptrdiff_t>(self.next_change), changes_.end()}};
+    self.next_change = changes_.size();
   }
 }
 
--- a/rig/roster.h
+++ b/rig/roster.h
@@ -1,5 +1,6 @@
-// A stand-in for the list of workers: pushes the whole list and then changes to every router that watches, each
-// change so much later than it happened. It knows only whether a process runs, drains or is gone.
+// A stand-in for discovery: sends the complete worker list, and then changes, to every router that watches
+// it. A change is published after a configurable delay. It knows only whether a worker runs, drains or is
+// gone.
 #pragma once
 
 #include <map>
@@ -17,27 +18,28 @@
   Roster(io::Loop& loop, io::Address address, Recorder& record);
   ~Roster();
   const io::Address& address() const { return server_->address(); }
-  void late_by(io::Nanos span) { late_ = span; }
-  // A change that has just happened; it is published after the lateness of this moment.
+  void late_by(io::Nanos delay) { delay_ = delay; }
+  // Publishes a change after the delay that is set now.
   void change(core::ListedWorker worker);
-  // No list any more: watchers are cut off and no one is let in.
+  // Closes the server for good: watchers are disconnected and no connection is accepted.
   void go_away();
 
  private:
   struct Watcher {
-    explicit Watcher(io::Loop& loop) : news(loop) {}
+    explicit Watcher(io::Loop& loop) : published(loop) {}
     std::string router;
-    std::size_t told{};
-    io::Signal news;
+    std::size_t next_change{};
+    io::Signal published;
   };
   io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
+  // Streams the complete list and then each change, until the router closes the connection.
   io::Task<> watch(const std::string& router, http::ResponseWriter& answer);
   io::Task<> publish(core::ListedWorker worker, io::Nanos after);
-  void note(const std::string& router, const core::WorkerList& list);
+  void record_sent(const std::string& router, const core::WorkerList& list);
 
   io::Loop& loop_;
   Recorder& record_;
-  io::Nanos late_{};
+  io::Nanos delay_{};
   std::map<std::string, core::ListedWorker> list_;  // as published
   std::vector<core::ListedWorker> changes_;         // in the order of publishing
   std::vector<Watcher*> watchers_;
