--- a/rig/hold_rule.cpp
+++ b/rig/hold_rule.cpp
@@ -8,21 +8,23 @@
 
 using What = HoldMark::What;
 
-bool voided(const std::vector<AttemptSpan>& attempts, const std::vector<HoldMark>& marks,
-            const HoldMark& held) {
-  const auto released_since = [&](Nanos came) {
+// Whether a release during the prefill freed what the prefill left.
+bool released_during_prefill(const std::vector<AttemptSpan>& attempts, const std::vector<HoldMark>& marks,
+                             const HoldMark& held) {
+  const auto release_arrived_since = [&](Nanos came) {
     return std::ranges::any_of(marks, [&](const HoldMark& mark) {
       return mark.what == What::released && mark.at >= came && mark.at < held.at;
     });
   };
   return std::ranges::any_of(attempts, [&](const AttemptSpan& attempt) {
     return attempt.prefill && attempt.worker == held.worker && attempt.came <= held.at &&
-           released_since(attempt.came);
+           release_arrived_since(attempt.came);
   });
 }
 
-// Whether a decode attempt waits for what is held: it is out at its worker, and has taken nothing.
-bool awaited(const std::vector<AttemptSpan>& attempts, const std::vector<HoldMark>& marks, Nanos at) {
+// Whether a decode attempt waits for the KV cache: it is at its worker and has taken nothing yet.
+bool awaited_by_decode(const std::vector<AttemptSpan>& attempts, const std::vector<HoldMark>& marks,
+                       Nanos at) {
   const auto has_taken = [&](const AttemptSpan& attempt) {
     return std::ranges::any_of(marks, [&](const HoldMark& mark) {
       return mark.what == What::taken && mark.worker == attempt.worker && mark.at >= attempt.came &&
@@ -38,14 +40,14 @@
                const HoldMark& held, Nanos end) {
   for (const HoldMark& mark : marks) {
     if (mark.at <= held.at || mark.what == What::held) continue;
-    if (mark.what == What::taken || !awaited(attempts, marks, mark.at)) return mark.at;
+    if (mark.what == What::taken || !awaited_by_decode(attempts, marks, mark.at)) return mark.at;
   }
   return end;
 }
 
 Nanos longest_unattended(const std::vector<AttemptSpan>& attempts, Nanos from, Nanos until) {
   Nanos longest = 0;
-  Nanos begins = from;  // of the part without an attempt
+  Nanos begins = from;  // start of the current part without an attempt
   for (const AttemptSpan& attempt : attempts) {
     if (attempt.ended <= begins) continue;
     if (attempt.came >= until) break;
@@ -61,7 +63,7 @@
                                  Nanos end) {
   std::vector<HeldSpan> out;
   for (const HoldMark& mark : marks) {
-    if (mark.what != What::held || voided(attempts, marks, mark)) continue;
+    if (mark.what != What::held || released_during_prefill(attempts, marks, mark)) continue;
     const Nanos until = freed_at(attempts, marks, mark, end);
     out.push_back({mark.at, until, longest_unattended(attempts, mark.at, until)});
   }
--- a/rig/hold_rule.h
+++ b/rig/hold_rule.h
@@ -1,5 +1,6 @@
-// The rule on held KV cache, stated once for all that judge by it: what a prefill leaves at its worker is taken or released
-// within a limit that counts while no attempt of the request is out at a running worker. Judged by what workers have seen.
+// The rule on held KV cache, in one place for all checks: what a prefill leaves at its worker is taken or
+// released within a limit. The limit counts only while no attempt of the request is at a running worker. The
+// rule is applied to what the workers saw.
 #pragma once
 
 #include <vector>
@@ -10,13 +11,14 @@
 
 // An attempt as its worker saw it.
 struct AttemptSpan {
-  Nanos came{};   // its last byte
-  Nanos ended{};  // its answer was written, or the end of its connection arrived; kNever: still out
+  Nanos came{};   // the last byte of the request arrived
+  Nanos ended{};  // its response was written, or its connection was closed; kNever: still at the worker
   int worker{};
   bool prefill{};
 };
 
-// What a worker did with the KV cache of a request. Any worker may release it, wherever it lies.
+// What a worker did with the KV cache of a request. A release may arrive at any worker, not only at the
+// holder.
 struct HoldMark {
   enum class What { held, taken, released } what{};
   Nanos at{};
@@ -24,15 +26,17 @@
   bool operator==(const HoldMark&) const = default;
 };
 
-// KV cache that was held from `from` until `until`, and the longest part of that without an attempt at a worker.
+// KV cache that was held from `from` until `until`, and the longest part of that time without an attempt at a
+// worker.
 struct HeldSpan {
   Nanos from{};
   Nanos until{};
   Nanos unattended{};
 };
 
-// Of one request, until `end`. Attempts in order of `came`, marks in order of `at`.
-// A release frees nothing that a decode attempt waits for that has taken nothing yet, and what a prefill leaves that was under way when it came.
+// The spans of one request, until `end`. Attempts are in order of arrival, marks in order of `at`. A release
+// does not free KV cache that a decode attempt still waits for. A release that comes while a prefill is at
+// its worker also frees what that prefill leaves.
 std::vector<HeldSpan> held_spans(const std::vector<AttemptSpan>& attempts, const std::vector<HoldMark>& marks,
                                  Nanos end);
 
--- a/rig/process.h
+++ b/rig/process.h
@@ -1,4 +1,4 @@
-// Programs that a day starts, and ends by their process ids.
+// A child process.
 #pragma once
 
 #include <string>
@@ -6,20 +6,23 @@
 
 namespace cressrill::rig {
 
+// Owns the child: the destructor kills it.
 class Process {
  public:
   Process() = default;
-  // Standard output and error are added to the log. Throws std::system_error where it cannot be started.
+  // Standard output and error are appended to the log. Throws std::system_error if the program cannot be
+  // started.
   Process(const std::vector<std::string>& command, const std::string& log);
   Process(Process&& other) noexcept;
   Process& operator=(Process&& other) noexcept;
   ~Process() { kill(); }
 
   int pid() const { return pid_; }
+  // Reaps the child if it has ended.
   bool running();
   void terminate();  // SIGTERM
   void kill();       // SIGKILL, and waits for it
-  // After running() said no: the exit status, or minus the signal.
+  // The exit status, or the negated signal number. Valid once running() has returned false.
   int status() const { return status_; }
 
  private:
