--- a/rig/fault_plan.h
+++ b/rig/fault_plan.h
@@ -1,5 +1,6 @@
-// What the fault shim (rig/fault_shim.cpp) does to the system calls of a process. The plan is plain shared memory, so that
-// a test, or another process that maps the same file, can change it while the process runs, and read what was injected.
+// What the fault shim (rig/fault_shim.cpp) does to the system calls of a process. The plan is plain shared
+// memory, so that a test, or another process that maps the same file, can change it while the process runs
+// and read what was injected.
 #pragma once
 
 #include <array>
@@ -30,14 +31,14 @@
 
 inline const char* word(FaultyCall call) { return kFaultyCallNames[static_cast<std::size_t>(call)]; }
 
-// How one call misbehaves. Neither field set: as the kernel has it.
+// The fault of one system call. With `error` and `most_bytes` at 0 the call works normally.
 struct CallFault {
   std::atomic<int> error{};                 // errno to fail with; 0: none
-  std::atomic<std::uint32_t> one_in{};      // each n-th call fails; 0 or 1: every call
-  std::atomic<std::uint32_t> at_most{};     // the fault ends by itself after so many; 0: it lasts
-  std::atomic<std::uint32_t> most_bytes{};  // a transfer moves at most so many bytes; 0: no bound
-  std::atomic<std::uint32_t> calls{};       // made while the fault was set
-  std::atomic<std::uint64_t> injected{};    // of these, those that were made to misbehave
+  std::atomic<std::uint32_t> one_in{};      // every n-th call fails; 0 or 1: every call
+  std::atomic<std::uint32_t> at_most{};     // the fault ends after this many failed calls; 0: it lasts
+  std::atomic<std::uint32_t> most_bytes{};  // a transfer moves at most this many bytes; 0: no limit
+  std::atomic<std::uint32_t> calls{};       // calls made while `error` was set
+  std::atomic<std::uint64_t> injected{};    // calls that failed or were shortened
 };
 
 struct FaultPlan {
@@ -45,16 +46,22 @@
   std::array<CallFault, kFaultyCalls> calls;
 
   CallFault& of(FaultyCall call) { return calls[static_cast<std::size_t>(call)]; }
+  // Ends all faults of system calls; the counts and the clock offset stay.
   void clear() {
-    for (CallFault& fault : calls) fault.error = 0, fault.one_in = 0, fault.at_most = 0, fault.most_bytes = 0;
+    for (CallFault& fault : calls) {
+      fault.error = 0;
+      fault.one_in = 0;
+      fault.at_most = 0;
+      fault.most_bytes = 0;
+    }
   }
 };
 
-// The file of the plan that a process maps at its first call, by this environment variable. Without it the plan lies in
-// the process itself.
+// The environment variable with the path of the plan, which a process maps at its first intercepted call.
+// Without it the plan is private to the process.
 constexpr const char* kFaultPlanVariable = "CRESSRILL_FAULT_PLAN";
 
 }  // namespace cressrill::rig
 
-// The plan in force in this process.
+// The plan that applies to this process.
 extern "C" cressrill::rig::FaultPlan* cressrill_fault_plan();
--- a/rig/fault_shim.cpp
+++ b/rig/fault_shim.cpp
@@ -1,6 +1,6 @@
-// Stands before the C library's calls and makes them misbehave as the fault plan says: errors that Linux documents, short
-// transfers, a wall clock that was stepped. Linked into a test program it acts there; as a shared library it is loaded
-// into a program by LD_PRELOAD.
+// Interposes functions of the C library and injects the faults of the fault plan: errors that Linux
+// documents, short transfers, and a stepped wall clock. It is linked into a test program, or loaded into any
+// program as a shared library with LD_PRELOAD.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -22,23 +22,23 @@
 namespace {
 
 template <class Function>
-Function next(const char* name) {
+Function real_function(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
-FaultPlan* mapped_plan() {
-  static FaultPlan own;
+FaultPlan* map_plan() {
+  static FaultPlan private_plan;
   const char* path = std::getenv(cressrill::rig::kFaultPlanVariable);
-  if (path == nullptr) return &own;
+  if (path == nullptr) return &private_plan;
   const int descriptor = ::open(path, O_RDWR | O_CLOEXEC);
-  if (descriptor < 0) return &own;
+  if (descriptor < 0) return &private_plan;
   void* memory = mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, descriptor, 0);
   ::close(descriptor);
-  return memory == MAP_FAILED ? &own : static_cast<FaultPlan*>(memory);
+  return memory == MAP_FAILED ? &private_plan : static_cast<FaultPlan*>(memory);
 }
 
-// Whether this call is one that fails; errno is set then.
-bool fails(FaultyCall call) {
+// Whether this call has to fail; sets errno if so.
+bool inject_failure(FaultyCall call) {
   CallFault& fault = cressrill_fault_plan()->of(call);
   const int error = fault.error;
   if (error == 0) return false;
@@ -49,8 +49,8 @@
   return true;
 }
 
-// How many of these bytes a transfer may move.
-std::size_t allowed(FaultyCall call, std::size_t bytes) {
+// How many of these bytes the transfer may move.
+std::size_t transfer_limit(FaultyCall call, std::size_t bytes) {
   CallFault& fault = cressrill_fault_plan()->of(call);
   const std::uint32_t most = fault.most_bytes;
   if (most == 0 || bytes <= most) return bytes;
@@ -63,19 +63,19 @@
 extern "C" {
 
 FaultPlan* cressrill_fault_plan() {
-  static FaultPlan* const plan = mapped_plan();
+  static FaultPlan* const plan = map_plan();
   return plan;
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  static const auto real = next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  return fails(FaultyCall::accept) ? -1 : real(descriptor, address, size, flags);
+  static const auto real = real_function<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  return inject_failure(FaultyCall::accept) ? -1 : real(descriptor, address, size, flags);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static const auto real = next<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  // An interrupted connect goes on by itself: connect(2).
-  if (!fails(FaultyCall::connect)) return real(descriptor, address, size);
+  static const auto real = real_function<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  // An interrupted connect continues in the background: see connect(2).
+  if (!inject_failure(FaultyCall::connect)) return real(descriptor, address, size);
   if (errno != EINTR) return -1;
   real(descriptor, address, size);
   errno = EINTR;
@@ -83,70 +83,78 @@
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-  static const auto real = next<int (*)(int, int, int)>("socket");
-  return fails(FaultyCall::socket) ? -1 : real(domain, type, protocol);
+  static const auto real = real_function<int (*)(int, int, int)>("socket");
+  return inject_failure(FaultyCall::socket) ? -1 : real(domain, type, protocol);
 }
 
 ssize_t recv(int descriptor, void* to, std::size_t bytes, int flags) {
-  static const auto real = next<ssize_t (*)(int, void*, std::size_t, int)>("recv");
-  return fails(FaultyCall::receive) ? -1 : real(descriptor, to, allowed(FaultyCall::receive, bytes), flags);
+  static const auto real = real_function<ssize_t (*)(int, void*, std::size_t, int)>("recv");
+  return inject_failure(FaultyCall::receive)
+             ? -1
+             : real(descriptor, to, transfer_limit(FaultyCall::receive, bytes), flags);
 }
 
 ssize_t send(int descriptor, const void* from, std::size_t bytes, int flags) {
-  static const auto real = next<ssize_t (*)(int, const void*, std::size_t, int)>("send");
-  return fails(FaultyCall::send) ? -1 : real(descriptor, from, allowed(FaultyCall::send, bytes), flags);
+  static const auto real = real_function<ssize_t (*)(int, const void*, std::size_t, int)>("send");
+  return inject_failure(FaultyCall::send)
+             ? -1
+             : real(descriptor, from, transfer_limit(FaultyCall::send, bytes), flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static const auto real = next<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
-  if (fails(FaultyCall::send)) return -1;
+  static const auto real = real_function<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
+  if (inject_failure(FaultyCall::send)) return -1;
   const std::size_t first = message->msg_iovlen > 0 ? message->msg_iov[0].iov_len : 0;
-  const std::size_t most = allowed(FaultyCall::send, first);
+  const std::size_t most = transfer_limit(FaultyCall::send, first);
   if (most == first) return real(descriptor, message, flags);
   iovec part{message->msg_iov[0].iov_base, most};
   msghdr shorter = *message;
-  shorter.msg_iov = &part, shorter.msg_iovlen = 1;
+  shorter.msg_iov = &part;
+  shorter.msg_iovlen = 1;
   return real(descriptor, &shorter, flags);
 }
 
 int epoll_ctl(int epoll, int operation, int descriptor, epoll_event* event) noexcept {
-  static const auto real = next<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
-  if (operation == EPOLL_CTL_ADD && fails(FaultyCall::epoll_add)) return -1;
+  static const auto real = real_function<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
+  if (operation == EPOLL_CTL_ADD && inject_failure(FaultyCall::epoll_add)) return -1;
   return real(epoll, operation, descriptor, event);
 }
 
 int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
-  static const auto real = next<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  return fails(FaultyCall::epoll_wait) ? -1 : real(epoll, events, most, timeout);
+  static const auto real = real_function<int (*)(int, epoll_event*, int, int)>("epoll_wait");
+  return inject_failure(FaultyCall::epoll_wait) ? -1 : real(epoll, events, most, timeout);
 }
 
 int getsockopt(int descriptor, int level, int option, void* value, socklen_t* size) noexcept {
-  static const auto real = next<int (*)(int, int, int, void*, socklen_t*)>("getsockopt");
-  return fails(FaultyCall::get_option) ? -1 : real(descriptor, level, option, value, size);
+  static const auto real = real_function<int (*)(int, int, int, void*, socklen_t*)>("getsockopt");
+  return inject_failure(FaultyCall::get_option) ? -1 : real(descriptor, level, option, value, size);
 }
 
 int shutdown(int descriptor, int how) noexcept {
-  static const auto real = next<int (*)(int, int)>("shutdown");
-  return fails(FaultyCall::shutdown) ? -1 : real(descriptor, how);
+  static const auto real = real_function<int (*)(int, int)>("shutdown");
+  return inject_failure(FaultyCall::shutdown) ? -1 : real(descriptor, how);
 }
 
 ssize_t write(int descriptor, const void* from, std::size_t bytes) {
-  static const auto real = next<ssize_t (*)(int, const void*, std::size_t)>("write");
-  return fails(FaultyCall::write) ? -1 : real(descriptor, from, allowed(FaultyCall::write, bytes));
+  static const auto real = real_function<ssize_t (*)(int, const void*, std::size_t)>("write");
+  return inject_failure(FaultyCall::write) ? -1
+                                           : real(descriptor, from, transfer_limit(FaultyCall::write, bytes));
 }
 
 ssize_t read(int descriptor, void* to, std::size_t bytes) {
-  static const auto real = next<ssize_t (*)(int, void*, std::size_t)>("read");
-  return fails(FaultyCall::read) ? -1 : real(descriptor, to, allowed(FaultyCall::read, bytes));
+  static const auto real = real_function<ssize_t (*)(int, void*, std::size_t)>("read");
+  return inject_failure(FaultyCall::read) ? -1
+                                          : real(descriptor, to, transfer_limit(FaultyCall::read, bytes));
 }
 
 int clock_gettime(clockid_t clock, timespec* to) noexcept {
-  static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+  static const auto real = real_function<int (*)(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, to);
   if (result != 0 || clock != CLOCK_REALTIME) return result;
   constexpr std::int64_t kSecond = 1'000'000'000;
   const std::int64_t now = to->tv_sec * kSecond + to->tv_nsec + cressrill_fault_plan()->wall_clock_offset;
-  to->tv_sec = now / kSecond, to->tv_nsec = now % kSecond;
+  to->tv_sec = now / kSecond;
+  to->tv_nsec = now % kSecond;
   return result;
 }
 
