--- a/rig/baseline.cpp
+++ b/rig/baseline.cpp
@@ -8,117 +8,127 @@
 
 namespace {
 
-constexpr Nanos kMargin = 40'000'000;  // before the abandon time
+constexpr Nanos kDeadlineMargin = 40'000'000;  // a request is given up this long before its deadline
 
 class Baseline final : public Policy {
  public:
-  Baseline(bool fewest, const PolicySettings& d, std::uint64_t seed, Actions& out)
-      : fewest_(fewest), d_(d), out_(out), random_(seed) {}
+  Baseline(bool fewest, const PolicySettings& settings, std::uint64_t seed, Actions& actions)
+      : pick_fewest_(fewest), settings_(settings), actions_(actions), random_(seed) {}
 
   void list_begins(Nanos, bool complete) override {
     if (complete)
-      for (Worker& w : workers_) w.ready = false;
+      for (Worker& worker : workers_) worker.ready = false;
   }
-  void worker_listed(int worker, std::uint64_t, WorkerStatus standing, Nanos, int kind, int, int) override {
+  void worker_listed(int worker, std::uint64_t, WorkerStatus status, Nanos, int kind, int, int) override {
     if (worker >= static_cast<int>(workers_.size())) workers_.resize(static_cast<std::size_t>(worker) + 1);
-    at(worker).ready = standing == WorkerStatus::ready;
-    at(worker).reads = d_.kinds[static_cast<std::size_t>(kind)].role == Role::prefill;
+    worker_at(worker).ready = status == WorkerStatus::ready;
+    worker_at(worker).is_prefill = settings_.kinds[static_cast<std::size_t>(kind)].role == Role::prefill;
   }
   void list_ends() override {}
   void list_failed(Nanos) override {}
-  void request_arrived(Nanos now, int seq, int type, int, std::uint64_t, std::uint64_t, double, double,
-                       double, Nanos abandon_at) override {
-    if (seq >= static_cast<int>(sequences_.size())) sequences_.resize(static_cast<std::size_t>(seq) + 1);
-    sequences_[static_cast<std::size_t>(seq)] = Sequence{};
-    Sequence& q = of(seq);
-    q.live = true, q.abandon_at = abandon_at, q.effect = d_.types[static_cast<std::size_t>(type)].effect;
-    out_.request_wakeup(std::max<Nanos>(1, abandon_at - kMargin - now));
-    next(seq, true);
+  void request_arrived(Nanos now, int request, int type, int, std::uint64_t, std::uint64_t, double, double,
+                       double, Nanos deadline) override {
+    if (request >= static_cast<int>(requests_.size()))
+      requests_.resize(static_cast<std::size_t>(request) + 1);
+    requests_[static_cast<std::size_t>(request)] = RequestEntry{};
+    RequestEntry& entry = entry_of(request);
+    entry.live = true;
+    entry.deadline = deadline;
+    entry.effect = settings_.types[static_cast<std::size_t>(type)].effect;
+    actions_.request_wakeup(std::max<Nanos>(1, deadline - kDeadlineMargin - now));
+    send_attempt(request, true);
   }
-  void client_left(Nanos, int seq) override { finish(seq); }
-  void stream_started(Nanos, int seq, int, Nanos) override { of(seq).streaming = true; }
-  void attempt_ended(Nanos now, int seq, int, Outcome outcome, Nanos, bool closed, double,
+  void client_left(Nanos, int request) override { finish(request); }
+  void stream_started(Nanos, int request, int, Nanos) override { entry_of(request).streaming = true; }
+  void attempt_ended(Nanos now, int request, int, Outcome outcome, Nanos, bool closed, double,
                      const LoadReport&) override {
-    Sequence& q = of(seq);
-    --q.out, --at(q.worker).in_flight;
-    if (closed || q.over) return finish(seq);
+    RequestEntry& entry = entry_of(request);
+    --entry.in_flight;
+    --worker_at(entry.worker).in_flight;
+    if (closed || entry.over) return finish(request);
     if (outcome == Outcome::prefill_done) {
-      q.held = true;
-      return next(seq, false);
+      entry.kv_held = true;
+      return send_attempt(request, false);
     }
     const bool ran =
         outcome == Outcome::error || outcome == Outcome::timed_out || outcome == Outcome::connection_lost;
-    q.maybe_ran = q.maybe_ran || (ran && !q.reading);
-    if (now > q.abandon_at - kMargin || (q.maybe_ran && q.effect != Effect::repeatable)) return give_up(seq);
-    if (outcome == Outcome::kv_missing) q.held = false;
-    next(seq, !q.held);
+    entry.may_have_run = entry.may_have_run || (ran && !entry.is_prefill);
+    if (now > entry.deadline - kDeadlineMargin || (entry.may_have_run && entry.effect != Effect::repeatable))
+      return give_up(request);
+    if (outcome == Outcome::kv_missing) entry.kv_held = false;
+    send_attempt(request, !entry.kv_held);
   }
   void on_wakeup(Nanos now) override {
-    for (int seq = 0; seq < static_cast<int>(sequences_.size()); ++seq)
-      if (of(seq).live && !of(seq).over && !of(seq).streaming && now >= of(seq).abandon_at - kMargin)
-        give_up(seq);
+    for (int request = 0; request < static_cast<int>(requests_.size()); ++request)
+      if (entry_of(request).live && !entry_of(request).over && !entry_of(request).streaming &&
+          now >= entry_of(request).deadline - kDeadlineMargin)
+        give_up(request);
   }
 
  private:
-  struct Sequence {
-    bool live{}, over{}, streaming{}, held{}, reading{}, maybe_ran{};
-    int out{}, attempts{}, worker{};
+  struct RequestEntry {
+    bool live{}, over{}, streaming{}, kv_held{}, is_prefill{}, may_have_run{};
+    int in_flight{}, attempts{}, worker{};
     Effect effect{};
-    Nanos abandon_at{};
+    Nanos deadline{};
   };
   struct Worker {
-    bool ready{}, reads{};
+    bool ready{}, is_prefill{};
     int in_flight{};
   };
-  Sequence& of(int seq) { return sequences_[static_cast<std::size_t>(seq)]; }
-  Worker& at(int worker) { return workers_[static_cast<std::size_t>(worker)]; }
+  RequestEntry& entry_of(int request) { return requests_[static_cast<std::size_t>(request)]; }
+  Worker& worker_at(int worker) { return workers_[static_cast<std::size_t>(worker)]; }
 
-  void next(int seq, bool reads) {
-    Sequence& q = of(seq);
-    std::vector<int> from;
-    for (int w = 0; w < static_cast<int>(workers_.size()); ++w)
-      if (at(w).ready && at(w).reads == reads) from.push_back(w);
-    if (from.empty() || q.attempts >= d_.max_attempts) return give_up(seq);
-    std::ranges::shuffle(from, random_);
-    if (fewest_) std::ranges::stable_sort(from, {}, [&](int w) { return at(w).in_flight; });
-    q.worker = from.front(), q.reading = reads;
-    ++q.attempts, ++q.out, ++at(q.worker).in_flight;
-    out_.send(seq, q.worker, {});
+  void send_attempt(int request, bool is_prefill) {
+    RequestEntry& entry = entry_of(request);
+    std::vector<int> candidates;
+    for (int worker = 0; worker < static_cast<int>(workers_.size()); ++worker)
+      if (worker_at(worker).ready && worker_at(worker).is_prefill == is_prefill) candidates.push_back(worker);
+    if (candidates.empty() || entry.attempts >= settings_.max_attempts) return give_up(request);
+    std::ranges::shuffle(candidates, random_);
+    if (pick_fewest_)
+      std::ranges::stable_sort(candidates, {}, [&](int worker) { return worker_at(worker).in_flight; });
+    entry.worker = candidates.front();
+    entry.is_prefill = is_prefill;
+    ++entry.attempts;
+    ++entry.in_flight;
+    ++worker_at(entry.worker).in_flight;
+    actions_.send(request, entry.worker, {});
   }
-  void give_up(int seq) {
-    Sequence& q = of(seq);
-    const bool may_have_run = q.maybe_ran || (q.out > 0 && !q.reading);
-    if (may_have_run && q.effect != Effect::repeatable)
-      out_.abort(seq);
+  void give_up(int request) {
+    RequestEntry& entry = entry_of(request);
+    const bool effect_possible = entry.may_have_run || (entry.in_flight > 0 && !entry.is_prefill);
+    if (effect_possible && entry.effect != Effect::repeatable)
+      actions_.abort(request);
     else
-      out_.reject(seq, 0);
-    finish(seq);
+      actions_.reject(request, 0);
+    finish(request);
   }
-  void finish(int seq) {
-    Sequence& q = of(seq);
-    if (!q.live) return;
-    q.over = true;
-    if (q.out > 0) return out_.cancel(seq, q.attempts - 1);
-    out_.release(seq);
-    q.live = false;
-    out_.forget_request(seq);
+  void finish(int request) {
+    RequestEntry& entry = entry_of(request);
+    if (!entry.live) return;
+    entry.over = true;
+    if (entry.in_flight > 0) return actions_.cancel(request, entry.attempts - 1);
+    actions_.release(request);
+    entry.live = false;
+    actions_.forget_request(request);
   }
 
-  bool fewest_;
-  const PolicySettings d_;
-  Actions& out_;
+  bool pick_fewest_;
+  const PolicySettings settings_;
+  Actions& actions_;
   std::mt19937_64 random_;
-  std::vector<Sequence> sequences_;
+  std::vector<RequestEntry> requests_;
   std::vector<Worker> workers_;
 };
 
 }  // namespace
 
-std::unique_ptr<Policy> make_baseline(const std::string& name, const PolicySettings& deployment,
+std::unique_ptr<Policy> make_baseline(const std::string& name, const PolicySettings& settings,
                                       std::uint64_t seed, Actions& actions) {
   if (name != "random" && name != "fewest")
     throw std::invalid_argument("no baseline is named '" + name + "'");
-  return std::make_unique<Baseline>(name == "fewest", deployment, seed, actions);
+  return std::make_unique<Baseline>(name == "fewest", settings, seed, actions);
 }
 
 }  // namespace cressrill::rig
--- a/rig/baseline.h
+++ b/rig/baseline.h
@@ -1,4 +1,5 @@
-// Baselines beside the project's own decisions, for rigs only: they keep no more than the plainest care.
+// Simple baselines that the project's own policy is compared with, for tests and measurements only. They keep
+// deadlines and do not repeat effects, and do nothing more.
 #pragma once
 
 #include <string>
@@ -7,8 +8,9 @@
 
 namespace cressrill::rig {
 
-// random: any ready worker; fewest: the one with the fewest of this router's own sequences in flight.
-std::unique_ptr<Policy> make_baseline(const std::string& name, const PolicySettings& deployment,
+// name: "random" picks any ready worker, "fewest" the one with the fewest attempts of this router in flight.
+// Throws std::invalid_argument for another name.
+std::unique_ptr<Policy> make_baseline(const std::string& name, const PolicySettings& settings,
                                       std::uint64_t seed, Actions& actions);
 
 }  // namespace cressrill::rig
