--- a/benchmarks/decide.cpp
+++ b/benchmarks/decide.cpp
@@ -1,5 +1,5 @@
-// What one input costs the decisions, by live sequences and workers. No sockets: the module alone, on a fleet that
-// answers in a steady way.
+// The cost of one input of the policy, by the numbers of live requests and workers. The policy runs alone,
+// without sockets, on a fleet that answers at a steady rate.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -12,44 +12,48 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// Keeps so many sequences streaming, and lets one come, be read, begin and end with each turn: four inputs.
+// Keeps a number of requests streaming. In each turn one request arrives, its prefill ends, its stream
+// starts, and the oldest request ends: four inputs.
 class Fleet final : public Actions {
  public:
-  // slo_s: how patient they are; past some share of it none stays in line.
-  Fleet(int live, int workers, int slo_s = 2) : policy_(make_policy(deployment(slo_s), 7, now_, *this)) {
+  // slo_s: the latency SLO. A request that is queued for more than a share of it is rejected.
+  Fleet(int live, int workers, int slo_s = 2) : policy_(make_policy(make_settings(slo_s), 7, now_, *this)) {
     policy_->list_begins(now_, true);
-    for (int w = 0; w < workers; ++w)
-      policy_->worker_listed(w, static_cast<std::uint64_t>(w) + 1, WorkerStatus::ready, 0, w % 2, 0, w / 8);
+    for (int worker = 0; worker < workers; ++worker)
+      policy_->worker_listed(worker, static_cast<std::uint64_t>(worker) + 1, WorkerStatus::ready, 0,
+                             worker % 2, 0, worker / 8);
     policy_->list_ends();
     if (slo_s > 2) return;
-    for (int i = 0; i < live; ++i) begin(i);
+    for (int i = 0; i < live; ++i) start_stream(i);
     next_ = live;
   }
 
-  // A line of so many before the readers, all that may be in flight being so.
+  // Queues requests before the prefill workers, until as many are in flight as may be and the rest wait.
   void queue(int live) {
-    for (int i = 0; i < live; ++i) come(i);
+    for (int i = 0; i < live; ++i) arrive(i);
     next_ = live;
   }
-  // One more comes, and one of those in flight is read, begins and ends: the first in line is sent in its place.
-  void queue_turn() {
-    come(next_++);
-    const int seq = sent_order_.front();
+  // Another request arrives, and one in flight completes its prefill, starts its stream and ends: the first
+  // request of the queue is sent in its place.
+  void queued_turn() {
+    arrive(next_++);
+    const int request = sent_order_.front();
     sent_order_.pop_front();
     now_ += kMs;
-    policy_->attempt_ended(now_, seq, 0, Outcome::prefill_done, 20 * kMs, false, 1000, {true, 3, 0.2});
-    policy_->stream_started(now_, seq, 1, 10 * kMs);
-    policy_->attempt_ended(now_, seq, 1, Outcome::generated, 100 * kMs, true, 0, {});
+    policy_->attempt_ended(now_, request, 0, Outcome::prefill_done, 20 * kMs, false, 1000, {true, 3, 0.2});
+    policy_->stream_started(now_, request, 1, 10 * kMs);
+    policy_->attempt_ended(now_, request, 1, Outcome::generated, 100 * kMs, true, 0, {});
   }
 
   void turn() {
-    begin(next_);
+    start_stream(next_);
     policy_->attempt_ended(now_, oldest_, 1, Outcome::generated, 100 * kMs, true, 0, {});
-    ++oldest_, ++next_;
+    ++oldest_;
+    ++next_;
   }
 
-  void send(int seq, int worker, AttemptLimits) override {
-    if (worker % 2 == 0) sent_order_.push_back(seq);
+  void send(int request, int worker, AttemptLimits) override {
+    if (worker % 2 == 0) sent_order_.push_back(request);
   }
   void release(int) override {}
   void cancel(int, int) override {}
@@ -62,27 +66,32 @@
   int rejected() const { return rejected_; }
 
  private:
-  static PolicySettings deployment(int slo_s) {
-    PolicySettings d;
-    d.types.push_back({Effect::repeatable, Group::all, 0, slo_s * 1000 * kMs, 40 * kMs, 1});
-    d.kinds = {{Role::prefill, 0}, {Role::decode, 0}};
-    d.routers = 1, d.tick = 2 * kMs, d.max_attempts = 6;
-    d.can_cancel = d.allow_parallel_attempts = true;
-    d.kv_hold_limit = 500 * kMs, d.cold_start_capacity = 0.25, d.ramp_time = 10'000 * kMs;
-    d.overload_factor = 2.5, d.overload_window = 1'500 * kMs;
-    return d;
+  static PolicySettings make_settings(int slo_s) {
+    PolicySettings settings;
+    settings.types.push_back({Effect::repeatable, Group::all, 0, slo_s * 1000 * kMs, 40 * kMs, 1});
+    settings.kinds = {{Role::prefill, 0}, {Role::decode, 0}};
+    settings.routers = 1;
+    settings.tick = 2 * kMs;
+    settings.max_attempts = 6;
+    settings.can_cancel = settings.allow_parallel_attempts = true;
+    settings.kv_hold_limit = 500 * kMs;
+    settings.cold_start_capacity = 0.25;
+    settings.ramp_time = 10'000 * kMs;
+    settings.overload_factor = 2.5;
+    settings.overload_window = 1'500 * kMs;
+    return settings;
   }
-  void come(int seq) {
+  void arrive(int request) {
     now_ += kMs / 10;
-    const auto session = static_cast<std::uint64_t>(seq % 997 + 1);
-    policy_->request_arrived(now_, seq, 0, 0, session, session % 13 + 1, 2000, 1000, 200,
+    const auto session = static_cast<std::uint64_t>(request % 997 + 1);
+    policy_->request_arrived(now_, request, 0, 0, session, session % 13 + 1, 2000, 1000, 200,
                              now_ + 6'000'000 * kMs);
   }
-  void begin(int seq) {
+  void start_stream(int request) {
     now_ += kMs;
-    come(seq);
-    policy_->attempt_ended(now_, seq, 0, Outcome::prefill_done, 20 * kMs, false, 1000, {true, 3, 0.2});
-    policy_->stream_started(now_, seq, 1, 10 * kMs);
+    arrive(request);
+    policy_->attempt_ended(now_, request, 0, Outcome::prefill_done, 20 * kMs, false, 1000, {true, 3, 0.2});
+    policy_->stream_started(now_, request, 1, 10 * kMs);
   }
 
   Nanos now_{1000 * kMs};
@@ -91,11 +100,10 @@
   std::unique_ptr<Policy> policy_;
 };
 
-// Each turn is four inputs.
+// Counts four inputs a turn.
 void finish(benchmark::State& state, const Fleet& fleet) {
   state.SetItemsProcessed(state.iterations() * 4);
-  if (fleet.rejected() > 0)
-    state.SkipWithError("a sequence was turned away: the figure is of something else");
+  if (fleet.rejected() > 0) state.SkipWithError("a request was rejected, so the figure is not valid");
 }
 
 void inputs(benchmark::State& state) {
@@ -111,7 +119,7 @@
 void inputs_with_a_line(benchmark::State& state) {
   Fleet fleet(0, static_cast<int>(state.range(1)), 100'000);
   fleet.queue(static_cast<int>(state.range(0)));
-  for (auto _ : state) fleet.queue_turn();
+  for (auto _ : state) fleet.queued_turn();
   finish(state, fleet);
 }
 BENCHMARK(inputs_with_a_line)
--- a/benchmarks/loopback.cpp
+++ b/benchmarks/loopback.cpp
@@ -1,5 +1,5 @@
-// The kernel's own cost of an event that is passed on: told by epoll, read, written, through loopback, with no program
-// logic between. What the router adds to an event is over this.
+// The kernel's cost of forwarding an event over loopback: epoll_wait, recv and send, without any program
+// logic. The router's own cost of an event comes on top of this.
 #include <arpa/inet.h>
 #include <benchmark/benchmark.h>
 #include <netinet/in.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Two ends of one connection.
-std::array<int, 2> connected() {
+// The two ends of one connection.
+std::array<int, 2> connected_pair() {
   const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in at{};
   at.sin_family = AF_INET;
@@ -24,7 +24,7 @@
   if (::bind(listener, reinterpret_cast<sockaddr*>(&at), size) != 0 || ::listen(listener, 1) != 0 ||
       ::getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size) != 0 ||
       ::connect(near, reinterpret_cast<sockaddr*>(&at), size) != 0)
-    throw std::runtime_error("no connection through loopback");
+    throw std::runtime_error("cannot connect over loopback");
   const int far = ::accept(listener, nullptr, nullptr);
   ::close(listener);
   const int on = 1;
@@ -32,9 +32,10 @@
   return {near, far};
 }
 
-// pass: also what stands between; else only the two ends, so that the difference is the passing on.
-void events(benchmark::State& state, bool pass) {
-  const auto engine = connected(), client = connected();
+// forward: the event passes through an intermediate process. Without it, it goes from one end to the other
+// directly; the difference is the cost of forwarding.
+void events(benchmark::State& state, bool forward) {
+  const auto engine = connected_pair(), client = connected_pair();
   const int epoll = epoll_create1(0);
   epoll_event event{};
   event.events = EPOLLIN | EPOLLET;
@@ -43,7 +44,7 @@
   const auto size = static_cast<std::size_t>(state.range(0));
   for (auto _ : state) {
     if (::send(engine[0], bytes.data(), size, 0) < 0) throw std::runtime_error("send");
-    if (pass) {
+    if (forward) {
       epoll_wait(epoll, &event, 1, -1);
       const ssize_t got = ::recv(engine[1], bytes.data(), bytes.size(), 0);
       if (::send(client[0], bytes.data(), static_cast<std::size_t>(got), 0) < 0)
--- a/benchmarks/structures.cpp
+++ b/benchmarks/structures.cpp
@@ -1,4 +1,4 @@
-// The structures made for the job, each beside a plain one at the sizes that matter.
+// The project's own data structures, each beside a standard one at the sizes that occur.
 #include <benchmark/benchmark.h>
 
 #include <boost/intrusive/set.hpp>
@@ -20,14 +20,16 @@
 namespace bi = boost::intrusive;
 constexpr std::int64_t kMs = 1'000'000;
 
-std::uint64_t next_chance(std::uint64_t& state) {
-  state ^= state << 13, state ^= state >> 7, state ^= state << 17;
+std::uint64_t next_random(std::uint64_t& state) {
+  state ^= state << 13;
+  state ^= state >> 7;
+  state ^= state << 17;
   return state;
 }
 
-// Timers: so many stand; one is taken back before its time and set anew, as an attempt's deadline mostly is, and
-// every so often the time moves on. The plain ones: a queue, which must keep what was taken back until it is due,
-// and the balanced tree that the scheduler had.
+// Timers: a fixed number is armed. Each step rearms one before it is due, as happens to most deadlines of
+// attempts, and every sixteenth step fires those that are due. Compared with a priority queue, which keeps
+// cancelled entries until they are due, and with the balanced tree that the event loop used before.
 
 struct WheelTimer : bi::list_base_hook<bi::link_mode<bi::auto_unlink>> {
   std::int64_t at{};
@@ -44,16 +46,26 @@
 template <class Timer, class Set, class Fire>
 void timers(benchmark::State& state, Set set, Fire fire) {
   std::vector<Timer> all(static_cast<std::size_t>(state.range(0)));
-  std::uint64_t chance = 88172645463325252u, order = 0;
+  std::uint64_t random = 88172645463325252u, order = 0;
   std::int64_t now = kMs;
-  const auto span = [&] { return static_cast<std::int64_t>(next_chance(chance) % 10'000) * kMs + kMs; };
-  for (Timer& t : all) t.at = now + span(), t.order = order++, set(t);
+  const auto span = [&] { return static_cast<std::int64_t>(next_random(random) % 10'000) * kMs + kMs; };
+  for (Timer& t : all) {
+    t.at = now + span();
+    t.order = order++;
+    set(t);
+  }
   for (auto _ : state) {
-    Timer& t = all[next_chance(chance) % all.size()];
-    t.at = now + span(), t.order = order++;
+    Timer& t = all[next_random(random) % all.size()];
+    t.at = now + span();
+    t.order = order++;
     set(t);
     now += 20'000;
-    if (order % 16 == 0) fire(now, [&](Timer& due) { due.at = now + span(), due.order = order++, set(due); });
+    if (order % 16 == 0)
+      fire(now, [&](Timer& due) {
+        due.at = now + span();
+        due.order = order++;
+        set(due);
+      });
   }
 }
 
@@ -104,60 +116,62 @@
 BENCHMARK(timers_tree)->Arg(100)->Arg(5'000)->Arg(100'000);
 BENCHMARK(timers_queue)->Arg(100)->Arg(5'000)->Arg(100'000);
 
-// FrameAllocator: three nested awaits an event, of the sizes that the path has.
+// FrameAllocator: the frames of three nested coroutines for each event, with sizes as on the ordinary path.
 
-constexpr std::size_t kFrames[] = {320, 264, 200};
+constexpr std::size_t kFrameBytes[] = {320, 264, 200};
 
 void frames_used_again(benchmark::State& state) {
   for (auto _ : state) {
-    void* taken[3];
-    for (int i = 0; i < 3; ++i) benchmark::DoNotOptimize(taken[i] = io::FrameAllocator::allocate(kFrames[i]));
-    for (int i = 2; i >= 0; --i) io::FrameAllocator::deallocate(taken[i], kFrames[i]);
+    void* frames[3];
+    for (int i = 0; i < 3; ++i)
+      benchmark::DoNotOptimize(frames[i] = io::FrameAllocator::allocate(kFrameBytes[i]));
+    for (int i = 2; i >= 0; --i) io::FrameAllocator::deallocate(frames[i], kFrameBytes[i]);
   }
 }
 void frames_heap(benchmark::State& state) {
   for (auto _ : state) {
-    void* taken[3];
-    for (int i = 0; i < 3; ++i) benchmark::DoNotOptimize(taken[i] = ::operator new(kFrames[i]));
-    for (int i = 2; i >= 0; --i) ::operator delete(taken[i], kFrames[i]);
+    void* frames[3];
+    for (int i = 0; i < 3; ++i) benchmark::DoNotOptimize(frames[i] = ::operator new(kFrameBytes[i]));
+    for (int i = 2; i >= 0; --i) ::operator delete(frames[i], kFrameBytes[i]);
   }
 }
 BENCHMARK(frames_used_again);
 BENCHMARK(frames_heap);
 
-// The holder table: keys of sessions, a few holders each; looked up, mostly in vain, for each choice of a reader.
-// Beside the module's map of vectors: one flat array with the holders in place.
+// The table of prefix holders: session keys with a few holders each. It is looked up for each choice of a
+// prefill worker, mostly without a hit; here half of the lookups miss. The policy's map of vectors is
+// compared with a flat array that stores the holders inline.
 
-struct Holding {
+struct PrefixHolder {
   int worker{};
   double tokens{};
   std::int64_t at{};
 };
-class FlatHolders {
+class FlatHolderTable {
  public:
-  explicit FlatHolders(std::size_t keys) : slots_(std::bit_ceil(keys * 2)) {}
-  void hold(std::uint64_t key, const Holding& h) {
-    Slot& s = slot(key);
-    s.key = key;
-    s.holdings[s.size < 4 ? s.size++ : 3] = h;
+  explicit FlatHolderTable(std::size_t keys) : slots_(std::bit_ceil(keys * 2)) {}
+  void add(std::uint64_t key, const PrefixHolder& holder) {
+    Slot& entry = slot_of(key);
+    entry.key = key;
+    entry.holders[entry.size < 4 ? entry.size++ : 3] = holder;
   }
-  const Holding* find(std::uint64_t key, int& size) {
-    const Slot& s = slot(key);
-    size = s.size;
-    return s.holdings;
+  const PrefixHolder* find(std::uint64_t key, int& size) {
+    const Slot& entry = slot_of(key);
+    size = entry.size;
+    return entry.holders;
   }
 
  private:
   struct Slot {
     std::uint64_t key{};
     int size{};
-    Holding holdings[4];
+    PrefixHolder holders[4];
   };
-  Slot& slot(std::uint64_t key) {
+  Slot& slot_of(std::uint64_t key) {
     std::size_t i = (key * 0x9e3779b97f4a7c15u) >> 32;
     for (;; ++i) {
-      Slot& s = slots_[i & (slots_.size() - 1)];
-      if (s.key == key || s.key == 0) return s;
+      Slot& entry = slots_[i & (slots_.size() - 1)];
+      if (entry.key == key || entry.key == 0) return entry;
     }
   }
   std::vector<Slot> slots_;
@@ -167,34 +181,34 @@
 
 void holders_flat(benchmark::State& state) {
   const auto keys = static_cast<std::uint64_t>(state.range(0));
-  FlatHolders table(keys);
-  for (std::uint64_t i = 0; i < keys; ++i) table.hold(key_of(i), {static_cast<int>(i % 50), 100, 1});
-  std::uint64_t chance = 88172645463325252u;
+  FlatHolderTable table(keys);
+  for (std::uint64_t i = 0; i < keys; ++i) table.add(key_of(i), {static_cast<int>(i % 50), 100, 1});
+  std::uint64_t random = 88172645463325252u;
   double sum = 0;
   for (auto _ : state) {
     int size = 0;
-    const Holding* list = table.find(key_of(next_chance(chance) % (keys * 2)), size);
+    const PrefixHolder* list = table.find(key_of(next_random(random) % (keys * 2)), size);
     for (int i = 0; i < size; ++i) sum += list[i].tokens;
   }
   benchmark::DoNotOptimize(sum);
 }
 void holders_map(benchmark::State& state) {
   const auto keys = static_cast<std::uint64_t>(state.range(0));
-  std::unordered_map<std::uint64_t, std::vector<Holding>> table;
+  std::unordered_map<std::uint64_t, std::vector<PrefixHolder>> table;
   for (std::uint64_t i = 0; i < keys; ++i) table[key_of(i)].push_back({static_cast<int>(i % 50), 100, 1});
-  std::uint64_t chance = 88172645463325252u;
+  std::uint64_t random = 88172645463325252u;
   double sum = 0;
   for (auto _ : state) {
-    const auto it = table.find(key_of(next_chance(chance) % (keys * 2)));
+    const auto it = table.find(key_of(next_random(random) % (keys * 2)));
     if (it == table.end()) continue;
-    for (const Holding& h : it->second) sum += h.tokens;
+    for (const PrefixHolder& holder : it->second) sum += holder.tokens;
   }
   benchmark::DoNotOptimize(sum);
 }
 BENCHMARK(holders_flat)->Arg(1'000)->Arg(100'000);
 BENCHMARK(holders_map)->Arg(1'000)->Arg(100'000);
 
-// Events on their way to one client: four come, then all that wait are taken for one gathered write.
+// The buffer of events for one client: four events are appended, then all are taken for one gathered write.
 
 const std::string kEvent(160, 'x');
 
@@ -208,18 +222,22 @@
   }
 }
 void buffer_ring(benchmark::State& state) {
-  constexpr std::size_t kRoom = 64 * 1024;
-  const std::unique_ptr<char[]> ring(new char[kRoom]);
+  constexpr std::size_t kCapacityBytes = 64 * 1024;
+  const std::unique_ptr<char[]> ring(new char[kCapacityBytes]);
   std::size_t head = 0, tail = 0;
   const auto put = [&](std::string_view text) {
-    const std::size_t at = head % kRoom, here = std::min(text.size(), kRoom - at);
+    const std::size_t at = head % kCapacityBytes, here = std::min(text.size(), kCapacityBytes - at);
     std::memcpy(ring.get() + at, text.data(), here);
     std::memcpy(ring.get(), text.data() + here, text.size() - here);
     head += text.size();
   };
   for (auto _ : state) {
-    for (int i = 0; i < 4; ++i) put("data: "), put(kEvent), put("\n\n");
-    benchmark::DoNotOptimize(ring.get() + tail % kRoom);
+    for (int i = 0; i < 4; ++i) {
+      put("data: ");
+      put(kEvent);
+      put("\n\n");
+    }
+    benchmark::DoNotOptimize(ring.get() + tail % kCapacityBytes);
     tail = head;
   }
 }
