--- a/programs/baseline.cpp
+++ b/programs/baseline.cpp
@@ -1,4 +1,4 @@
-// cressrill-baseline: the router's sockets with plain decisions in place of its own. For rigs only.
+// cressrill-baseline: the router with a simple baseline policy in place of its own, for comparisons only.
 #include "rig/baseline.h"
 
 #include "serve.h"
@@ -6,17 +6,18 @@
 using namespace cressrill;
 
 int main(int argc, char** argv) {
-  CLI::App app{"A baseline to compare the router with; not for use.", "cressrill-baseline"};
+  CLI::App app{"A router with a baseline policy, for comparisons only; not for production.",
+               "cressrill-baseline"};
   std::string file, policy;
   app.add_option("--config", file, "a router's TOML file")->required();
   app.add_option("--policy", policy, "random or fewest")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
-  core::ConfigErrors faults;
-  const std::optional<core::RouterConfig> station = core::read_router_config(file, faults);
-  if (print_faults(faults)) return kUsage;
-  return guarded("cressrill-baseline", [&] {
-    return serve(*station, [&](const PolicySettings& d, std::uint64_t seed, Nanos, Actions& actions) {
-      return rig::make_baseline(policy, d, seed, actions);
+  core::ConfigErrors errors;
+  const std::optional<core::RouterConfig> config = core::read_router_config(file, errors);
+  if (print_errors(errors)) return kUsageError;
+  return run_guarded("cressrill-baseline", [&] {
+    return serve(*config, [&](const PolicySettings& settings, std::uint64_t seed, Nanos, Actions& actions) {
+      return rig::make_baseline(policy, settings, seed, actions);
     });
   });
 }
--- a/programs/command_line.h
+++ b/programs/command_line.h
@@ -1,4 +1,4 @@
-// What the programs' command lines share: --help and --version, and what a faulty one exits with.
+// Shared by the command lines of all programs: --help and --version, error output, and exit statuses.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,33 +10,35 @@
 
 namespace cressrill {
 
-constexpr int kFine = 0;
-constexpr int kFailed = 1;
-constexpr int kUsage = 2;
+// Exit statuses.
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr int kUsageError = 2;
 
-// Reads the command line; a value is what to exit with at once.
+// Parses the command line. A returned value is the status to exit with at once.
 inline std::optional<int> read_command_line(CLI::App& app, int argc, char** argv) {
   app.set_version_flag("--version", app.get_name() + " " CRESSRILL_VERSION);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? kFine : kUsage;
+    return app.exit(e) == 0 ? kSuccess : kUsageError;
   }
   return std::nullopt;
 }
 
-inline bool print_faults(const core::ConfigErrors& faults) {
-  for (const core::ConfigError& f : faults) std::cerr << f.to_string() << '\n';
-  return !faults.empty();
+// Prints the errors to standard error; true if there are any.
+inline bool print_errors(const core::ConfigErrors& errors) {
+  for (const core::ConfigError& error : errors) std::cerr << error.to_string() << '\n';
+  return !errors.empty();
 }
 
-// Runs what may throw, and says what went wrong.
-inline int guarded(const char* program, const std::function<int()>& run) {
+// Runs the function and returns its status; an exception is printed, and the status is kFailure.
+inline int run_guarded(const char* program, const std::function<int()>& run) {
   try {
     return run();
   } catch (const std::exception& e) {
     std::cerr << program << ": " << e.what() << '\n';
-    return kFailed;
+    return kFailure;
   }
 }
 
--- a/programs/relay.cpp
+++ b/programs/relay.cpp
@@ -1,5 +1,5 @@
-// cressrill-relay: passes bytes from each client to one engine and back, and decides nothing. For measurements only:
-// what it costs is the floor for anything that stands between the two on this scheduler.
+// cressrill-relay: a TCP proxy that forwards bytes between each client and one engine. For measurements only:
+// its cost is the lower bound for any proxy on this event loop.
 #include "command_line.h"
 #include "io/signals.h"
 #include "io/socket.h"
@@ -11,45 +11,46 @@
 io::Task<> pump(io::Socket& from, io::Socket& to) {
   std::array<char, 16 * 1024> buffer;
   for (;;) {
-    const io::IoResult got = co_await from.read_some(buffer);
-    if (!got.ok() || got.bytes == 0) break;
-    const io::IoResult put = co_await to.write_all(std::string_view(buffer.data(), got.bytes));
-    if (!put.ok()) break;
+    const io::IoResult received = co_await from.read_some(buffer);
+    if (!received.ok() || received.bytes == 0) break;
+    const io::IoResult sent = co_await to.write_all(std::string_view(buffer.data(), received.bytes));
+    if (!sent.ok()) break;
   }
 }
 
-io::Task<> carry(io::Loop& loop, io::Socket client, io::Address engine) {
+io::Task<> relay_connection(io::Loop& loop, io::Socket client, io::Address engine) {
   io::Socket peer;
   const io::IoResult connected = co_await io::connect(loop, engine, peer);
   if (!connected.ok()) co_return;
-  io::Signal over(loop);
-  io::Scope both(loop);
-  const auto way = [&](io::Socket& from, io::Socket& to) {
-    both.spawn([](io::Socket& a, io::Socket& b, io::Signal& s) -> io::Task<> {
+  io::Signal ended(loop);
+  io::Scope pumps(loop);
+  const auto pump_direction = [&](io::Socket& from, io::Socket& to) {
+    pumps.spawn([](io::Socket& a, io::Socket& b, io::Signal& s) -> io::Task<> {
       co_await pump(a, b);
       s.notify();
-    }(from, to, over));
+    }(from, to, ended));
   };
-  way(client, peer), way(peer, client);
-  co_await over.wait();
+  pump_direction(client, peer);
+  pump_direction(peer, client);
+  co_await ended.wait();
 }
 
-io::Task<> accept(io::Loop& loop, io::Listener& listener, std::vector<io::Address> engines,
-                  io::Scope& scope) {
-  for (std::size_t turn = 0;; ++turn) {
+io::Task<> accept_connections(io::Loop& loop, io::Listener& listener, std::vector<io::Address> engines,
+                              io::Scope& scope) {
+  for (std::size_t connection = 0;; ++connection) {
     io::Socket client = co_await listener.accept();
-    scope.spawn(carry(loop, std::move(client), engines[turn % engines.size()]));
+    scope.spawn(relay_connection(loop, std::move(client), engines[connection % engines.size()]));
   }
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Passes bytes on and decides nothing; for measurements.", "cressrill-relay"};
+  CLI::App app{"Forwards bytes to engines in round-robin order; for measurements.", "cressrill-relay"};
   std::string listen;
   std::vector<std::string> to;
   app.add_option("--listen", listen, "address and port")->required();
-  app.add_option("--to", to, "addresses of engines, taken in turn")->required();
+  app.add_option("--to", to, "addresses of engines, used in turn")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   std::vector<io::Address> engines;
   for (const std::string& text : to)
@@ -57,14 +58,14 @@
   const auto address = io::parse_address(listen);
   if (!address || engines.size() != to.size()) {
     std::cerr << "cressrill-relay: not an address and port\n";
-    return kUsage;
+    return kUsageError;
   }
-  return guarded("cressrill-relay", [&] {
+  return run_guarded("cressrill-relay", [&] {
     io::Loop loop;
     io::Listener listener(loop, *address);
     io::Scope scope(loop);
-    scope.spawn(accept(loop, listener, engines, scope));
+    scope.spawn(accept_connections(loop, listener, engines, scope));
     io::run_until_stop_signal(loop);
-    return kFine;
+    return kSuccess;
   });
 }
--- a/programs/roster.cpp
+++ b/programs/roster.cpp
@@ -1,4 +1,4 @@
-// cressrill-roster: a stand-in for the list of workers.
+// cressrill-roster: a stand-in for discovery.
 #include "rig/roster.h"
 
 #include "command_line.h"
@@ -7,24 +7,25 @@
 using namespace cressrill;
 
 int main(int argc, char** argv) {
-  CLI::App app{"Stand-in list of workers: pushes changes, late.", "cressrill-roster"};
+  CLI::App app{"Discovery stand-in: sends the worker list and its changes, with a delay.",
+               "cressrill-roster"};
   std::string listen, record;
   double late_ms = 0;
   app.add_option("--listen", listen, "address and port")->required();
-  app.add_option("--record", record, "file that what was told is added to");
-  app.add_option("--late-ms", late_ms, "how late changes are told")->check(CLI::NonNegativeNumber);
+  app.add_option("--record", record, "file to which records of what was sent are appended");
+  app.add_option("--late-ms", late_ms, "delay of changes")->check(CLI::NonNegativeNumber);
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   const auto address = io::parse_address(listen);
   if (!address) {
     std::cerr << "cressrill-roster: '" << listen << "' is not an address and port\n";
-    return kUsage;
+    return kUsageError;
   }
-  return guarded("cressrill-roster", [&] {
+  return run_guarded("cressrill-roster", [&] {
     io::Loop loop;
     rig::Recorder recorder(loop, record.empty() ? "/dev/null" : record);
-    rig::Roster roster(loop, *address, recorder);
-    roster.late_by(static_cast<io::Nanos>(late_ms * 1e6));
+    rig::Roster discovery(loop, *address, recorder);
+    discovery.late_by(static_cast<io::Nanos>(late_ms * 1e6));
     io::run_until_stop_signal(loop);
-    return kFine;
+    return kSuccess;
   });
 }
--- a/programs/router.cpp
+++ b/programs/router.cpp
@@ -1,4 +1,5 @@
-// cressrill-router: serves, or checks its file. With --platform it serves by the file that EDGE_CONFIG names.
+// cressrill-router: runs the router, or checks its configuration file. With --platform it runs a node of the
+// platform, configured by the file that EDGE_CONFIG names.
 #include <cstdlib>
 #include <fstream>
 #include <iterator>
@@ -9,50 +10,50 @@
 using namespace cressrill;
 
 int main(int argc, char** argv) {
-  CLI::App app{"Routes language-model sequences to engines that read and engines that write.",
+  CLI::App app{"Routes requests for language models to prefill engines and decode engines.",
                "cressrill-router"};
   std::string file;
   bool check = false;
-  auto* config = app.add_option("--config", file, "the router's TOML file");
+  auto* config_option = app.add_option("--config", file, "the router's TOML file");
   bool platform = false;
   std::string log_level = "warn";
-  auto* on_platform = app.add_flag("--platform", platform,
-                                   "speak the platform's protocol, by the file that EDGE_CONFIG names");
-  on_platform->excludes(config);
+  auto* platform_option = app.add_flag(
+      "--platform", platform, "speak the platform's protocol, configured by the file that EDGE_CONFIG names");
+  platform_option->excludes(config_option);
   app.add_option("--log-level", log_level, "of --platform: trace, debug, info, warn, error, off")
-      ->needs(on_platform);
-  app.add_flag("--check", check, "only read the file and print what is wrong with it");
+      ->needs(platform_option);
+  app.add_flag("--check", check, "only read the file and print its errors");
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   if (platform) {
     const char* path = std::getenv("EDGE_CONFIG");
     if (path == nullptr || *path == '\0') {
       std::cerr << "cressrill-router: EDGE_CONFIG names no file\n";
-      return kUsage;
+      return kUsageError;
     }
-    return guarded("cressrill-router", [&] {
+    return run_guarded("cressrill-router", [&] {
       cressrill::platform::run_node(path, log_level);
-      return kFine;
+      return kSuccess;
     });
   }
-  if (config->empty()) {
+  if (config_option->empty()) {
     std::cerr << "cressrill-router: --config or --platform is needed\n";
-    return kUsage;
+    return kUsageError;
   }
-  core::ConfigErrors faults;
-  const std::optional<core::RouterConfig> station = core::read_router_config(file, faults);
-  if (print_faults(faults)) return kUsage;
+  core::ConfigErrors errors;
+  const std::optional<core::RouterConfig> config = core::read_router_config(file, errors);
+  if (print_errors(errors)) return kUsageError;
   if (check) {
-    if (std::ifstream list(station->last_list_path); !station->last_list_path.empty() && list) {
-      const std::string text((std::istreambuf_iterator<char>(list)), {});
+    if (std::ifstream list_file(config->last_list_path); !config->last_list_path.empty() && list_file) {
+      const std::string text((std::istreambuf_iterator<char>(list_file)), {});
       try {
-        faults = core::check_worker_list(*station, core::parse_worker_list(text), station->last_list_path);
+        errors = core::check_worker_list(*config, core::parse_worker_list(text), config->last_list_path);
       } catch (const std::invalid_argument& e) {
-        faults.push_back({station->last_list_path, 0, 0, e.what()});
+        errors.push_back({config->last_list_path, 0, 0, e.what()});
       }
-      if (print_faults(faults)) return kUsage;
+      if (print_errors(errors)) return kUsageError;
     }
     std::cout << file << ": nothing wrong\n";
-    return kFine;
+    return kSuccess;
   }
-  return guarded("cressrill-router", [&] { return serve(*station, make_policy); });
+  return run_guarded("cressrill-router", [&] { return serve(*config, make_policy); });
 }
--- a/programs/serve.h
+++ b/programs/serve.h
@@ -1,4 +1,4 @@
-// Serves until told to stop: what the router's program and the rig's baselines share.
+// Runs a router until a stop signal; shared by the router and the baselines.
 #pragma once
 
 #include <random>
@@ -9,30 +9,32 @@
 
 namespace cressrill {
 
-inline io::Task<> serve_until_told(io::Loop& loop, const core::RouterConfig& station, core::Log& log,
-                                   router::Instance& instance) {
+// Waits for a stop signal, then for the requests in flight, at most for the shutdown timeout.
+inline io::Task<> shut_down_on_signal(io::Loop& loop, const core::RouterConfig& config, core::Log& log,
+                                      router::Instance& instance) {
   io::StopSignal stop(loop);
   co_await stop.wait();
   log.info("stopping", {{"in_hand", instance.host().live_requests()}});
   instance.stop();
-  const io::Nanos until = loop.now() + station.shutdown_timeout;
+  const io::Nanos until = loop.now() + config.shutdown_timeout;
   while (!instance.is_idle() && loop.now() < until) co_await loop.sleep_for(5 * io::kMs);
   log.info("stopped", {{"left", instance.host().live_requests()}});
   loop.stop();
 }
 
-inline int serve(const core::RouterConfig& station, const router::PolicyFactory& make) {
+// Returns the exit status. Throws if the router cannot start.
+inline int serve(const core::RouterConfig& config, const router::PolicyFactory& policy_factory) {
   io::ignore_sigpipe();
   io::Loop loop;
-  core::Log log(station.name, station.log_level);
-  std::random_device chance;
-  const std::uint64_t seed = (static_cast<std::uint64_t>(chance()) << 32) | chance();
-  router::Instance instance(loop, station, log, seed, make);
+  core::Log log(config.name, config.log_level);
+  std::random_device random;
+  const std::uint64_t seed = (static_cast<std::uint64_t>(random()) << 32) | random();
+  router::Instance instance(loop, config, log, seed, policy_factory);
   log.info("serving", {{"at", instance.address().to_string()}, {"version", CRESSRILL_VERSION}});
   io::Scope scope(loop);
-  scope.spawn(serve_until_told(loop, station, log, instance));
+  scope.spawn(shut_down_on_signal(loop, config, log, instance));
   loop.run();
-  return kFine;
+  return kSuccess;
 }
 
 }  // namespace cressrill
--- a/programs/soak.cpp
+++ b/programs/soak.cpp
@@ -1,4 +1,5 @@
-// cressrill-soak: a randomized fault soak of the router on real processes, and the stand-ins that it starts.
+// cressrill-soak: a randomized fault soak of the router on real processes, and the stand-ins that it runs as
+// subcommands.
 #include <signal.h>
 #include <unistd.h>
 
@@ -15,7 +16,7 @@
 
 namespace {
 
-io::Address address_of(const std::string& text) {
+io::Address parse_address(const std::string& text) {
   const auto address = io::parse_address(text);
   if (!address) throw std::invalid_argument("'" + text + "' is not an address and port");
   return *address;
@@ -26,11 +27,11 @@
   rig::Recorder recorder(loop, record);
   soak::SoakWorker worker(loop, options, recorder);
   io::run_until_stop_signal(loop);
-  return kFine;
+  return kSuccess;
 }
 
-// SIGUSR1: the open connections fall silent. SIGUSR2: all do, until SIGHUP.
-io::Task<> steer(io::Loop& loop, io::SignalSet& signals, soak::Proxy& proxy) {
+// SIGUSR1 silences the connections that are open; SIGUSR2 silences all connections until SIGHUP.
+io::Task<> handle_signals(io::Loop& loop, io::SignalSet& signals, soak::Proxy& proxy) {
   for (;;) {
     const int number = co_await signals.wait();
     if (number == SIGTERM || number == SIGINT) break;
@@ -44,12 +45,12 @@
 int run_proxy(const std::string& listen, const std::string& target, std::uint64_t seed) {
   io::Loop loop;
   io::ignore_sigpipe();
-  soak::Proxy proxy(loop, address_of(listen), address_of(target), seed);
+  soak::Proxy proxy(loop, parse_address(listen), parse_address(target), seed);
   io::SignalSet signals(loop, {SIGTERM, SIGINT, SIGUSR1, SIGUSR2, SIGHUP});
   io::Scope scope(loop, io::Scope::OnException::end_process);
-  scope.spawn(steer(loop, signals, proxy));
+  scope.spawn(handle_signals(loop, signals, proxy));
   loop.run();
-  return kFine;
+  return kSuccess;
 }
 
 int run(soak::SoakOptions options, std::uint64_t first_seed, int seeds, int seconds) {
@@ -62,19 +63,20 @@
     std::filesystem::remove_all(options.folder);
     const soak::SoakResult result = soak::run_soak(options);
     options.folder = parent;
-    const soak::Judgement& j = result.judgement;
-    const bool fine = j.breaches.empty() && result.faults_injected > 0 && j.served > 0;
-    failed += !fine;
-    std::cout << "seed " << options.seed << ": " << (fine ? "kept" : "BROKEN") << ", " << j.requests
-              << " requests, " << j.served << " served, " << j.refused << " refused, " << j.failed
-              << " failed, " << j.left << " left, " << j.excused << " excused; " << result.troubles
-              << " troubles, " << result.faults_injected << " calls failed; at most "
-              << result.most_descriptors << " descriptors, " << result.most_memory_kb << " KB\n";
-    for (const std::string& breach : j.breaches) std::cout << "  " << breach << '\n';
+    const soak::Judgement& judgement = result.judgement;
+    const bool passed = judgement.breaches.empty() && result.faults_injected > 0 && judgement.served > 0;
+    failed += !passed;
+    std::cout << "seed " << options.seed << ": " << (passed ? "kept" : "BROKEN") << ", " << judgement.requests
+              << " requests, " << judgement.served << " served, " << judgement.refused << " refused, "
+              << judgement.failed << " failed, " << judgement.left << " left, " << judgement.excused
+              << " excused; " << result.troubles << " troubles, " << result.faults_injected
+              << " calls failed; at most " << result.most_descriptors << " descriptors, "
+              << result.most_memory_kb << " KB\n";
+    for (const std::string& breach : judgement.breaches) std::cout << "  " << breach << '\n';
     std::cout.flush();
   }
   std::cout << seeds - failed << " passed, " << failed << " failed\n";
-  return failed == 0 ? kFine : kFailed;
+  return failed == 0 ? kSuccess : kFailure;
 }
 
 }  // namespace
@@ -90,10 +92,11 @@
   options.router_program = here + "/cressrill-router";
   options.shim = here + "/libcressrill_fault_shim.so";
   options.folder = "found/soak";
-  auto* all = app.add_subcommand("run", "play seeds, one after another, and judge each");
+  auto* all = app.add_subcommand("run", "run seeds, one after another, and check each");
   all->add_option("--seed", seed, "the first");
   all->add_option("--seeds", seeds, "how many")->check(CLI::Range(1, 10'000));
-  all->add_option("--seconds", seconds, "for which troubles begin, each")->check(CLI::Range(1, 3600));
+  all->add_option("--seconds", seconds, "of each seed, during which faults are started")
+      ->check(CLI::Range(1, 3600));
   all->add_option("--routers", options.routers, "processes")->check(CLI::Range(1, 16));
   all->add_option("--workers", options.workers, "processes, each with a proxy")->check(CLI::Range(2, 24));
   all->add_option("--folder", options.folder, "for records and logs");
@@ -106,7 +109,7 @@
   one_worker->add_option("--listen", listen)->required();
   one_worker->add_option("--record", record)->required();
   one_worker->add_option("--seed", worker.seed)->required();
-  one_worker->add_option("--cues", cues, "address that is told of each answer, by datagrams");
+  one_worker->add_option("--cues", cues, "address that gets a datagram for each answer");
   one_worker->add_flag("--prefill", prefill);
   one_worker->add_flag("--decode", decode);
   auto* proxy = app.add_subcommand("proxy", "a proxy that breaks connections");
@@ -114,10 +117,11 @@
   proxy->add_option("--target", target)->required();
   proxy->add_option("--seed", seed)->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
-  return guarded("cressrill-soak", [&] {
+  return run_guarded("cressrill-soak", [&] {
     if (one_worker->parsed()) {
-      worker.reads = prefill, worker.address = address_of(listen);
-      if (!cues.empty()) worker.cues = address_of(cues);
+      worker.reads = prefill;
+      worker.address = parse_address(listen);
+      if (!cues.empty()) worker.cues = parse_address(cues);
       return run_worker(worker, record);
     }
     if (proxy->parsed()) return run_proxy(listen, target, seed);
--- a/programs/verdict.cpp
+++ b/programs/verdict.cpp
@@ -1,17 +1,18 @@
-// cressrill-verdict: judges the five rules from a day's record alone.
+// cressrill-verdict: checks the five rules on the records of a scenario alone.
 #include "command_line.h"
 #include "rig/player.h"
 
 using namespace cressrill;
 
 int main(int argc, char** argv) {
-  CLI::App app{"Judges the rules from what clients, engines and roster noted.", "cressrill-verdict"};
+  CLI::App app{"Checks the rules on the records of clients, engines and the discovery stand-in.",
+               "cressrill-verdict"};
   std::string folder;
-  app.add_option("DIR", folder, "the folder that cressrill-day recorded")->required();
+  app.add_option("DIR", folder, "the folder with the records of cressrill-day")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
-  return guarded("cressrill-verdict", [&] {
+  return run_guarded("cressrill-verdict", [&] {
     const rig::Verdict verdict = rig::judge(rig::read_records(folder), rig::read_rule_book(folder));
     std::cout << verdict.text();
-    return verdict.kept() ? kFine : kFailed;
+    return verdict.kept() ? kSuccess : kFailure;
   });
 }
--- a/rig/cost.h
+++ b/rig/cost.h
@@ -1,6 +1,7 @@
-// What one sequence costs the router: stand-ins, clients and a router on two schedulers in one thread and on handed
-// time, run in step, so that all that is counted while the router's one runs is the router's own, and a run
-// counts the same each time. Heap and copies are counted by whoever fills in Heap (programs/cost.cpp).
+// Counts what one request costs the router. The router runs on one event loop, the stand-ins and clients on
+// another, both in one thread and on simulated time. The loops run in turn, so everything counted during the
+// router's turn belongs to the router, and each run gives the same counts. Allocations and copies are counted
+// by hooks that fill in `heap` (programs/cost.cpp).
 #pragma once
 
 #include <array>
@@ -15,61 +16,62 @@
 
 namespace cressrill::rig {
 
-// Filled by hooks while on is set.
+// Filled in by the hooks while `on` is set.
 struct Heap {
   bool on{};
   std::uint64_t allocations{};
   std::uint64_t bytes{};
-  std::uint64_t copied{};  // bytes that memcpy and memmove were called for
+  std::uint64_t copied{};  // bytes copied by memcpy and memmove
 };
 extern Heap heap;
 
 struct Cost {
   double allocations{};
-  double bytes{};
-  double copied{};
-  double calls{};
-  std::array<double, io::kSystemCallCount> by_name{};
-  double instructions{};  // where the tool told them
+  double bytes{};   // allocated
+  double copied{};  // bytes
+  double calls{};   // system calls
+  std::array<double, io::kSystemCallCount> calls_by_name{};
+  double instructions{};  // 0 without callgrind
   Cost& operator+=(const Cost& other);
   Cost operator-(const Cost& other) const;
   Cost operator/(double n) const;
 };
 
-// What the router's turns are caused by, in the order of an ordinary sequence. The last two are parts of the others:
-// parse, the reading of the request's body alone, and decide, the module alone.
+// What caused a turn of the router, in the order of an ordinary request. The last two stages are parts of the
+// others: parse is the parsing of the request's body alone, and decide is the policy alone.
 enum class Stage { accept, request, read, first, event, end, rest, parse, decide };
 constexpr std::size_t kStages = 9;
-const char* word(Stage stage);
+const char* to_string(Stage stage);
 
-struct Play {
+struct Workload {
   std::string name;
   int events = 100;  // of each stream
   bool stream = true;
   std::size_t prompt_bytes = 1200;
-  int failures = 0;               // reads that fail before one is answered
-  int at_once = 1;                // sequences asked together
-  int idle_streams = 0;           // streams that stand open, without an event, meanwhile
-  io::Nanos busy{};               // the router gets a turn only so often; 0: whenever anything can run
-  io::Nanos step = 10 * io::kMs;  // between two events of a stream
-  int sequences = 8;              // counted, after four that are not
+  int failures = 0;           // prefill attempts that fail before one succeeds
+  int concurrency = 1;        // requests in flight at once
+  int idle_streams = 0;       // other streams that are open but send no events
+  io::Nanos turn_interval{};  // interval between turns of the router; 0: it runs whenever it has work
+  io::Nanos event_interval = 10 * io::kMs;  // between two events of a stream
+  int rounds = 8;                           // measured rounds of requests, after four rounds to warm up
 };
 
-struct Counted {
-  std::array<Cost, kStages> stages{};  // of one sequence, on average; the last two are part of the others
-  Cost all;                            // of one sequence
-  double events{};                     // that one sequence got
-  std::size_t failed{};                // sequences not answered as they should be
+struct WorkloadCost {
+  std::array<Cost, kStages> stages{};  // average of a request; the last two are parts of the others
+  Cost all;                            // average of a request
+  double events{};                     // of a request
+  std::size_t failed{};                // requests without the expected answer
 };
 
-// For a tool that counts instructions: begins and ends are called close around each of the router's turns, and then
-// was, with what the turn was; nothing where it was none.
+// For a tool that counts instructions: on_turn_begin and on_turn_end are called immediately around each turn
+// of the router, then on_turn_stage with the stage of the turn, or with nothing if the turn had nothing to
+// do.
 struct Probe {
-  std::function<void()> begins;
-  std::function<void()> ends;
-  std::function<void(std::optional<Stage>)> was;
+  std::function<void()> on_turn_begin;
+  std::function<void()> on_turn_end;
+  std::function<void(std::optional<Stage>)> on_turn_stage;
 };
 
-Counted count(const Play& play, const Probe& probe = {});
+WorkloadCost measure_cost(const Workload& workload, const Probe& probe = {});
 
 }  // namespace cressrill::rig
--- a/rig/crowd.h
+++ b/rig/crowd.h
@@ -1,5 +1,5 @@
-// The clients of a day: sessions that come by chance, ask turn by turn, and try again as clients do. Open loop: new
-// sessions come whether or not the earlier ones are answered.
+// The load generator of a scenario: sessions start at random times, send one request a turn, and retry as
+// clients do. It is open-loop: new sessions start whether or not earlier requests are answered.
 #pragma once
 
 #include <deque>
@@ -14,59 +14,67 @@
 
 namespace cressrill::rig {
 
-class Crowd {
+class LoadGenerator {
  public:
-  // address_of: where a router is reached.
-  Crowd(io::Loop& loop, const Day& day, Recorder& record,
-        std::function<io::Address(std::size_t router)> address_of);
-  // Comes and goes until the day's length is over; then waits for the last answers.
-  io::Task<> play();
-  std::size_t asked() const { return asked_; }
+  // address_of: the address at which a router is reached.
+  LoadGenerator(io::Loop& loop, const Scenario& scenario, Recorder& record,
+                std::function<io::Address(std::size_t router)> address_of);
+  // Starts sessions until the scenario's length has passed, then waits up to 20 s for the sessions that are
+  // left.
+  io::Task<> run();
+  std::size_t attempts_sent() const { return attempts_sent_; }
 
-  // What troubles do to the clients.
-  void burst(double times) { rate_times_ = times; }
-  void hot_beginning(double share, int words) { hot_share_ = share, hot_words_ = words, ++hot_; }
-  void heavy_tail(double times) { heavy_times_ = times; }
-  void give_up_after(double share) { give_up_ = share; }
-  void router_died(std::size_t router) { died_[router] = loop_.now(); }
-  void router_back(std::size_t router) { died_.erase(router); }
+  // Faults of the traffic. A factor of 1, or a share of 0, ends the fault.
+  void set_rate_factor(double factor) { rate_factor_ = factor; }
+  // This share of the new sessions starts with one prefix of this many words; each call chooses another
+  // prefix.
+  void set_hot_prefix(double share, int words) {
+    hot_share_ = share;
+    hot_words_ = words;
+    ++hot_prefix_number_;
+  }
+  void set_long_prompt_factor(double factor) { long_prompt_factor_ = factor; }
+  void set_timeout_factor(double factor) { timeout_factor_ = factor; }
+  void router_stopped(std::size_t router) { stopped_at_[router] = loop_.now(); }
+  void router_restarted(std::size_t router) { stopped_at_.erase(router); }
 
  private:
   struct Session {
     std::size_t traffic{};
     std::uint64_t number{};
     std::string zone;
-    std::string beginning;
-    std::vector<std::string> said;  // user's and assistant's words, in turn
+    std::string prefix;
+    std::vector<std::string> messages;  // of the user and the assistant, in turn
     int turns{};
   };
-  io::Task<> session(std::unique_ptr<Session> s);
-  io::Task<> sequence(Session& s);
+  io::Task<> run_session(std::unique_ptr<Session> session);
+  // Sends a request and its retries. The answer, if one came, is added to the session's messages.
+  io::Task<> run_turn(Session& session);
   std::string words(int count, std::uint64_t seed) const;
-  std::string body(const Session& s, const Traffic& t, int out, bool stream) const;
+  std::string body(const Session& session, const Traffic& traffic, int output_tokens, bool stream) const;
   std::size_t pick_router(const std::string& zone);
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  double spread(double mean) { return mean * std::exponential_distribution<double>(1)(random_); }
+  double uniform() { return std::uniform_real_distribution<double>(0, 1)(generator_); }
+  double exponential(double mean) { return mean * std::exponential_distribution<double>(1)(generator_); }
 
   io::Loop& loop_;
-  const Day& day_;
+  const Scenario& scenario_;
   Recorder& record_;
   std::function<io::Address(std::size_t)> address_of_;
-  std::mt19937_64 random_;
-  std::map<std::size_t, io::Nanos> died_;
-  std::map<std::string, std::size_t> turn_;  // round robin, by zone
+  std::mt19937_64 generator_;
+  std::map<std::size_t, io::Nanos> stopped_at_;     // by router
+  std::map<std::string, std::size_t> next_router_;  // round robin, by zone
   std::uint64_t sessions_{};
-  std::uint64_t sequences_{};
-  std::size_t asked_{};
-  std::size_t going_{};
-  double rate_times_{1};
+  std::uint64_t requests_{};
+  std::size_t attempts_sent_{};
+  std::size_t active_sessions_{};
+  double rate_factor_{1};
   double hot_share_{};
   int hot_words_{};
-  std::uint64_t hot_{};
-  double heavy_times_{1};
-  double give_up_{1};
-  io::Nanos until_{};
-  io::Signal left_;
+  std::uint64_t hot_prefix_number_{};
+  double long_prompt_factor_{1};
+  double timeout_factor_{1};
+  io::Nanos end_{};
+  io::Signal session_ended_;
   io::Scope scope_;
 };
 
--- a/rig/day.cpp
+++ b/rig/day.cpp
@@ -12,106 +12,106 @@
 
 namespace {
 
-constexpr double kHour = 3'600'000;
+constexpr double kHourMs = 3'600'000;
 
-// What the kinds strike, and how hard and long they do where a trouble is played alone: about the middle of what
-// fleets have recorded.
-struct Kind {
-  const char* word;
-  enum class Strikes { one_router, all_routers, one_engine, many_engines, no_one } strikes;
+// The kinds of faults, what each is injected into, and its size and duration when it is played alone. The
+// sizes and durations are typical of what fleets have recorded.
+struct FaultKind {
+  const char* name;
+  enum class Targets { one_router, all_routers, one_engine, many_engines, none } targets;
   double size;
-  int span_ms;
+  int duration_ms;
 };
-using Strikes = Kind::Strikes;
-constexpr Kind kKinds[] = {
-    {"crash", Strikes::many_engines, 0, 6000},
-    {"vanish", Strikes::many_engines, 0, 8000},
-    {"slow", Strikes::many_engines, 5, 8000},
-    {"throttle", Strikes::many_engines, 0.8, 8000},
-    {"flush", Strikes::many_engines, 0, 0},
-    {"fast_errors", Strikes::many_engines, 0.7, 8000},
-    {"handshake_slow", Strikes::many_engines, 400, 8000},
-    {"cut", Strikes::one_engine, 0.5, 5000},
-    {"ageing", Strikes::one_engine, 8, 8000},
-    {"drain", Strikes::many_engines, 0, 8000},
-    {"mass_restart", Strikes::many_engines, 0, 4000},
-    {"balancer_crash", Strikes::one_router, 0, 3000},
-    {"balancer_roll", Strikes::all_routers, 800, 9000},
-    {"discovery_stale", Strikes::no_one, 5000, 10000},
-    {"roster_gone", Strikes::no_one, 0, 0},
-    {"burst", Strikes::no_one, 2, 6000},
-    {"hot_key", Strikes::no_one, 0.2, 8000},
-    {"heavy_tail", Strikes::no_one, 15, 10000},
-    {"give_up", Strikes::no_one, 0.4, 8000},
+using Targets = FaultKind::Targets;
+constexpr FaultKind kFaultKinds[] = {
+    {"crash", Targets::many_engines, 0, 6000},
+    {"vanish", Targets::many_engines, 0, 8000},
+    {"slow", Targets::many_engines, 5, 8000},
+    {"throttle", Targets::many_engines, 0.8, 8000},
+    {"flush", Targets::many_engines, 0, 0},
+    {"fast_errors", Targets::many_engines, 0.7, 8000},
+    {"handshake_slow", Targets::many_engines, 400, 8000},
+    {"cut", Targets::one_engine, 0.5, 5000},
+    {"ageing", Targets::one_engine, 8, 8000},
+    {"drain", Targets::many_engines, 0, 8000},
+    {"mass_restart", Targets::many_engines, 0, 4000},
+    {"balancer_crash", Targets::one_router, 0, 3000},
+    {"balancer_roll", Targets::all_routers, 800, 9000},
+    {"discovery_stale", Targets::none, 5000, 10000},
+    {"roster_gone", Targets::none, 0, 0},
+    {"burst", Targets::none, 2, 6000},
+    {"hot_key", Targets::none, 0.2, 8000},
+    {"heavy_tail", Targets::none, 15, 10000},
+    {"give_up", Targets::none, 0.4, 8000},
 };
 
-bool strikes_routers(const Kind& k) {
-  return k.strikes == Strikes::one_router || k.strikes == Strikes::all_routers;
+bool targets_routers(const FaultKind& k) {
+  return k.targets == Targets::one_router || k.targets == Targets::all_routers;
 }
-bool strikes_engines(const Kind& k) {
-  return k.strikes == Strikes::one_engine || k.strikes == Strikes::many_engines;
+bool targets_engines(const FaultKind& k) {
+  return k.targets == Targets::one_engine || k.targets == Targets::many_engines;
 }
 
-const Kind* find_kind(const std::string& word) {
-  const auto it = std::ranges::find_if(kKinds, [&](const Kind& k) { return word == k.word; });
-  return it == std::end(kKinds) ? nullptr : it;
+const FaultKind* find_kind(const std::string& name) {
+  const auto it = std::ranges::find_if(kFaultKinds, [&](const FaultKind& k) { return name == k.name; });
+  return it == std::end(kFaultKinds) ? nullptr : it;
 }
 
-Traffic read_traffic(core::TomlTable& t) {
-  Traffic to;
-  to.type = t.string("type");
-  to.model = t.string("model");
-  to.share = t.number("share", 0, 1000);
-  to.turns = t.number("turns", 1, 1000, 2);
-  to.think = t.duration("think_ms", 0, kHour, 1500);
-  to.beginnings = t.integer("beginnings", 0, 100'000, 8);
-  to.beginning_words = t.integer("beginning_words", 0, 1'000'000, 400);
-  to.turn_words = t.integer("turn_words", 1, 1'000'000, 100);
-  to.out_tokens = t.integer("out_tokens", 1, 100'000, 40);
-  to.mark = t.boolean("mark", false);
-  to.whole = t.number("whole", 0, 1, 0);
-  to.late_share = t.number("late_share", 0, 1, 0.2);
-  t.report_unknown_keys();
-  return to;
+Traffic read_traffic(core::TomlTable& table) {
+  Traffic traffic;
+  traffic.type = table.string("type");
+  traffic.model = table.string("model");
+  traffic.share = table.number("share", 0, 1000);
+  traffic.mean_turns = table.number("turns", 1, 1000, 2);
+  traffic.mean_think_time = table.duration("think_ms", 0, kHourMs, 1500);
+  traffic.prefixes = table.integer("beginnings", 0, 100'000, 8);
+  traffic.prefix_words = table.integer("beginning_words", 0, 1'000'000, 400);
+  traffic.mean_turn_words = table.integer("turn_words", 1, 1'000'000, 100);
+  traffic.mean_output_tokens = table.integer("out_tokens", 1, 100'000, 40);
+  traffic.idempotency_key = table.boolean("mark", false);
+  traffic.complete_share = table.number("whole", 0, 1, 0);
+  traffic.late_share = table.number("late_share", 0, 1, 0.2);
+  table.report_unknown_keys();
+  return traffic;
 }
 
-Trouble read_trouble(core::TomlTable& t, const Day& day) {
-  Trouble to;
-  to.at = t.duration("at_ms", 0, 24 * kHour);
-  to.span = t.duration("for_ms", 0, 24 * kHour, 0);
-  to.kind = t.string("kind");
-  to.routers = t.strings("routers");
-  to.engines = t.strings("engines");
-  to.size = t.number("size", 0, 1e9, 0);
-  to.to = t.string("to", "");
-  t.report_unknown_keys();
-  const Kind* kind = find_kind(to.kind);
+ScheduledFault read_fault(core::TomlTable& table, const Scenario& scenario) {
+  ScheduledFault fault;
+  fault.start = table.duration("at_ms", 0, 24 * kHourMs);
+  fault.duration = table.duration("for_ms", 0, 24 * kHourMs, 0);
+  fault.kind = table.string("kind");
+  fault.routers = table.strings("routers");
+  fault.engines = table.strings("engines");
+  fault.size = table.number("size", 0, 1e9, 0);
+  fault.target = table.string("to", "");
+  table.report_unknown_keys();
+  const FaultKind* kind = find_kind(fault.kind);
   if (kind == nullptr) {
-    t.add_error("kind", "is '" + to.kind + "', which is not known");
-    return to;
+    table.add_error("kind", "is '" + fault.kind + "', which is not known");
+    return fault;
   }
   const bool router_found =
-      std::ranges::any_of(day.routers, [&](auto& r) { return matches(to.routers, r.name); });
+      std::ranges::any_of(scenario.routers, [&](auto& r) { return matches(fault.routers, r.name); });
   const bool engine_found =
-      std::ranges::any_of(day.engines, [&](auto& e) { return matches(to.engines, e.name); });
-  if (strikes_routers(*kind) && !router_found) t.add_error("routers", "names no router of this day");
-  if (strikes_engines(*kind) && !engine_found) t.add_error("engines", "names no engine of this day");
-  return to;
+      std::ranges::any_of(scenario.engines, [&](auto& e) { return matches(fault.engines, e.name); });
+  if (targets_routers(*kind) && !router_found) table.add_error("routers", "names no router of this scenario");
+  if (targets_engines(*kind) && !engine_found) table.add_error("engines", "names no engine of this scenario");
+  return fault;
 }
 
-Clients read_clients(core::TomlTable& t) {
-  Clients to;
-  to.retries = t.integer("retries", 0, 100, to.retries);
-  to.backoff = t.duration("backoff_ms", 0, kHour, 200);
-  to.honour = t.number("honour", 0, 1, to.honour);
-  to.try_share = t.number("try_share", 0.1, 1, to.try_share);
-  to.leave = t.number("leave", 0, 1, to.leave);
-  to.notice = t.duration("notice_ms", 0, kHour, 2000);
-  t.report_unknown_keys();
-  return to;
+ClientSettings read_client_settings(core::TomlTable& table) {
+  ClientSettings settings;
+  settings.retries = table.integer("retries", 0, 100, settings.retries);
+  settings.backoff = table.duration("backoff_ms", 0, kHourMs, 200);
+  settings.honour_share = table.number("honour", 0, 1, settings.honour_share);
+  settings.timeout_share = table.number("try_share", 0.1, 1, settings.timeout_share);
+  settings.leave_share = table.number("leave", 0, 1, settings.leave_share);
+  settings.failover_delay = table.duration("notice_ms", 0, kHourMs, 2000);
+  table.report_unknown_keys();
+  return settings;
 }
 
-// The tables of a router's file that the whole day shares, once more as text.
+// The tables of the scenario that belong into every router's configuration file, as text.
 std::string shared_text(const toml::table& file) {
   toml::table out;
   for (const char* key : {"rules", "bounds", "kind", "traffic_type", "tenant"})
@@ -129,126 +129,137 @@
   });
 }
 
-std::vector<std::string> trouble_kinds() {
+std::vector<std::string> fault_kinds() {
   std::vector<std::string> out;
-  for (const Kind& k : kKinds) out.emplace_back(k.word);
+  for (const FaultKind& k : kFaultKinds) out.emplace_back(k.name);
   return out;
 }
 
-void keep_only(Day& day, const std::string& word) {
-  const Kind* kind = find_kind(word);
-  if (kind == nullptr) throw std::invalid_argument("no trouble is named '" + word + "'");
-  Trouble t;
-  t.kind = word, t.size = kind->size, t.span = kind->span_ms * io::kMs, t.at = day.length / 3;
-  if (kind->strikes == Strikes::one_router) t.routers = {day.routers.front().name};
-  if (kind->strikes == Strikes::all_routers) t.routers = {"*"};
-  // A quarter of the engines, spread over the fleet; all of them forget, or one alone fails in its own way.
-  const std::size_t step = kind->strikes == Strikes::one_engine ? day.engines.size() : 4;
-  if (strikes_engines(*kind))
-    for (std::size_t i = 1 % day.engines.size(); i < day.engines.size(); i += step)
-      t.engines.push_back(day.engines[i].name);
-  if (word == "flush") t.engines = {"*"};
-  day.troubles = {t};
-  day.name += ", " + word + " alone";
+void keep_only_fault(Scenario& scenario, const std::string& name) {
+  const FaultKind* kind = find_kind(name);
+  if (kind == nullptr) throw std::invalid_argument("no kind of trouble is named '" + name + "'");
+  ScheduledFault fault;
+  fault.kind = name;
+  fault.size = kind->size;
+  fault.duration = kind->duration_ms * io::kMs;
+  fault.start = scenario.length / 3;
+  if (kind->targets == Targets::one_router) fault.routers = {scenario.routers.front().name};
+  if (kind->targets == Targets::all_routers) fault.routers = {"*"};
+  // A quarter of the engines, spread over the fleet; one engine for the kinds that concern one; all for a
+  // flush.
+  const std::size_t step = kind->targets == Targets::one_engine ? scenario.engines.size() : 4;
+  if (targets_engines(*kind))
+    for (std::size_t i = 1 % scenario.engines.size(); i < scenario.engines.size(); i += step)
+      fault.engines.push_back(scenario.engines[i].name);
+  if (name == "flush") fault.engines = {"*"};
+  scenario.faults = {fault};
+  scenario.name += ", " + name + " alone";
 }
 
-std::string router_file(const Day& day, const RouterPlace& place, const std::string& listen,
+std::string router_file(const Scenario& scenario, const RouterEntry& router, const std::string& listen,
                         const std::string& admin, const std::string& roster, const std::string& last_list) {
   std::string zones;
-  for (const std::string& z : day.station.zones) zones += (zones.empty() ? "\"" : ", \"") + z + "\"";
+  for (const std::string& zone : scenario.config.zones)
+    zones += (zones.empty() ? "\"" : ", \"") + zone + "\"";
   return fmt::format(
              "[router]\nname = \"{}\"\nlisten = \"{}\"\nadmin = \"{}\"\nroster = \"{}\"\nlast_list = "
              "\"{}\"\nzone = \"{}\"\n"
              "zones = [{}]\nrouters = {}\ntick_ms = {}\nlog_level = \"debug\"\n\n",
-             place.name, listen, admin, roster, last_list, place.zone, zones, day.routers.size(),
-             static_cast<double>(day.station.settings.tick) / 1e6) +
-         day.shared;
+             router.name, listen, admin, roster, last_list, router.zone, zones, scenario.routers.size(),
+             static_cast<double>(scenario.config.settings.tick) / 1e6) +
+         scenario.shared_toml;
 }
 
-std::string engines_file(const Day& day) {
-  std::string out;
+std::string engines_file(const Scenario& scenario) {
+  std::string text;
   static constexpr const char* kRoles[] = {"reader", "writer", "mixed"};
-  for (const EngineMake& m : day.engines)
-    out += fmt::format(
+  for (const EngineMake& engine : scenario.engines)
+    text += fmt::format(
         "[[engine]]\nname = \"{}\"\naddress = \"{}\"\nkind = \"{}\"\nrole = \"{}\"\nzone = \"{}\"\ncell = "
         "\"{}\"\n"
         "slots = {}\nqueue = {}\nmemory_tokens = {}\nread_per_s = {}\nread_overhead_ms = {}\nstep_ms = {}\n"
         "step_ms_per_sequence = {}\ntransfer_per_s = {}\nfar_factor = {}\nreport_ms = {}\ncold_from = "
         "{}\nramp_ms = {}\n"
         "fall_multiple = {}\nfall_ms = {}\nstate_expiry_ms = {}\n\n",
-        m.name, m.address, m.kind, kRoles[static_cast<int>(m.role)], m.zone, m.cell, m.slots, m.queue,
-        m.memory_tokens, m.read_per_s, m.read_overhead_ms, m.step_ms, m.step_ms_per_sequence,
-        m.transfer_per_s, m.far_factor, m.report_ms, m.cold_from, m.ramp_ms, m.fall_multiple, m.fall_ms,
-        m.state_expiry_ms);
-  return out;
+        engine.name, engine.address, engine.kind, kRoles[static_cast<int>(engine.role)], engine.zone,
+        engine.cell, engine.slots, engine.queue, engine.memory_tokens, engine.read_per_s,
+        engine.read_overhead_ms, engine.step_ms, engine.step_ms_per_sequence, engine.transfer_per_s,
+        engine.far_factor, engine.report_ms, engine.cold_from, engine.ramp_ms, engine.fall_multiple,
+        engine.fall_ms, engine.state_expiry_ms);
+  return text;
 }
 
-std::optional<Day> read_day(const std::string& path, core::ConfigErrors& faults) {
-  const auto file = core::parse_toml_file(path, faults);
+std::optional<Scenario> read_scenario(const std::string& path, core::ConfigErrors& errors) {
+  const auto file = core::parse_toml_file(path, errors);
   if (!file) return std::nullopt;
-  const std::size_t before = faults.size();
-  Day to;
-  core::TomlTable root(*file, "", path, faults);
+  const std::size_t errors_before = errors.size();
+  Scenario scenario;
+  core::TomlTable root(*file, "", path, errors);
   double tick_ms = 10;
-  if (auto t = root.table("day", true)) {
-    to.name = t->string("name");
-    to.length = t->duration("length_ms", 100, 24 * kHour);
-    to.seed = static_cast<std::uint64_t>(t->number("seed", 0, 1e15, 1));
-    to.rate = t->number("sequences_per_s", 0.01, 1e6);
-    to.roster_late = t->duration("roster_late_ms", 0, kHour, 300);
-    tick_ms = t->number("tick_ms", 0.1, 1000, 10);
-    to.station.zones = t->strings("zones", true);
-    t->report_unknown_keys();
+  if (auto table = root.table("day", true)) {
+    scenario.name = table->string("name");
+    scenario.length = table->duration("length_ms", 100, 24 * kHourMs);
+    scenario.seed = static_cast<std::uint64_t>(table->number("seed", 0, 1e15, 1));
+    scenario.requests_per_s = table->number("sequences_per_s", 0.01, 1e6);
+    scenario.discovery_delay = table->duration("roster_late_ms", 0, kHourMs, 300);
+    tick_ms = table->number("tick_ms", 0.1, 1000, 10);
+    scenario.config.zones = table->strings("zones", true);
+    table->report_unknown_keys();
   }
-  to.station.settings.tick = static_cast<Nanos>(tick_ms * 1e6);
-  for (core::TomlTable& t : root.tables("router", true)) {
-    to.routers.push_back({t.string("name"), t.string("zone")});
-    if (std::ranges::find(to.station.zones, to.routers.back().zone) == to.station.zones.end())
-      t.add_error("zone", "is not among 'day.zones'");
-    t.report_unknown_keys();
+  scenario.config.settings.tick = static_cast<Nanos>(tick_ms * 1e6);
+  for (core::TomlTable& table : root.tables("router", true)) {
+    scenario.routers.push_back({table.string("name"), table.string("zone")});
+    if (std::ranges::find(scenario.config.zones, scenario.routers.back().zone) == scenario.config.zones.end())
+      table.add_error("zone", "is not among 'day.zones'");
+    table.report_unknown_keys();
   }
-  to.engines = read_engines(root);
-  for (core::TomlTable& t : root.tables("traffic", true)) to.traffic.push_back(read_traffic(t));
-  if (auto t = root.table("clients", false)) to.clients = read_clients(*t);
-  for (core::TomlTable& t : root.tables("trouble", false)) to.troubles.push_back(read_trouble(t, to));
+  scenario.engines = read_engines(root);
+  for (core::TomlTable& table : root.tables("traffic", true)) scenario.traffic.push_back(read_traffic(table));
+  if (auto table = root.table("clients", false)) scenario.clients = read_client_settings(*table);
+  for (core::TomlTable& table : root.tables("trouble", false))
+    scenario.faults.push_back(read_fault(table, scenario));
   for (const char* key : {"rules", "bounds", "kind", "traffic_type", "tenant"}) root.ignore(key);
   root.report_unknown_keys();
-  to.shared = shared_text(*file);
-  if (faults.size() > before || to.routers.empty()) return std::nullopt;
-
-  // The routers' own reader judges the tables that they share, by their places in a file of its own.
-  const std::string trial = fmt::format("/tmp/cressrill-day-{}.toml", static_cast<const void*>(&to));
-  std::ofstream(trial) << router_file(to, to.routers.front(), "127.0.0.1:1", "", "127.0.0.1:2", "");
-  core::ConfigErrors inner;
-  const auto station = core::read_router_config(trial, inner);
-  std::remove(trial.c_str());
-  for (core::ConfigError& f : inner)
-    faults.push_back({path, 0, 0, "in the tables that the routers share: " + f.message});
-  if (!station) return std::nullopt;
-  to.station = *station;
-  for (const EngineMake& m : to.engines)
-    if (std::ranges::find(station->kind_names, m.kind) == station->kind_names.end())
-      faults.push_back(
-          {path, 0, 0, "engine '" + m.name + "' is of kind '" + m.kind + "', which no [[kind]] names"});
-  for (const std::string& kind : station->kind_names)
-    if (std::ranges::none_of(to.engines, [&](const EngineMake& m) { return m.kind == kind; }))
-      faults.push_back({path, 0, 0, "kind '" + kind + "' has no engine"});
-
-  to.book.drain_grace = station->drain_grace;
-  to.book.pin_limit = station->settings.kv_hold_limit;
-  for (std::size_t i = 0; i < station->type_rules.size(); ++i) {
-    const TrafficType& t = station->settings.types[i];
-    RuleBook::Type& type = to.book.types[station->type_rules[i].name];
-    type = {t.effect, t.group, t.window, t.utility, 0.2};
-    for (const Traffic& traffic : to.traffic)
-      if (traffic.type == station->type_rules[i].name) type.late_share = traffic.late_share;
+  scenario.shared_toml = shared_text(*file);
+  if (errors.size() > errors_before || scenario.routers.empty()) return std::nullopt;
+
+  // The router's own parser checks the shared tables, in a temporary configuration file. The line numbers of
+  // its errors would refer to that file: they are left out.
+  const std::string trial_path =
+      fmt::format("/tmp/cressrill-day-{}.toml", static_cast<const void*>(&scenario));
+  std::ofstream(trial_path) << router_file(scenario, scenario.routers.front(), "127.0.0.1:1", "",
+                                           "127.0.0.1:2", "");
+  core::ConfigErrors config_errors;
+  const auto config = core::read_router_config(trial_path, config_errors);
+  std::remove(trial_path.c_str());
+  for (core::ConfigError& error : config_errors)
+    errors.push_back({path, 0, 0, "in the tables shared by all routers: " + error.message});
+  if (!config) return std::nullopt;
+  scenario.config = *config;
+  for (const EngineMake& engine : scenario.engines)
+    if (std::ranges::find(config->kind_names, engine.kind) == config->kind_names.end())
+      errors.push_back(
+          {path, 0, 0,
+           "engine '" + engine.name + "' is of kind '" + engine.kind + "', which no [[kind]] names"});
+  for (const std::string& kind : config->kind_names)
+    if (std::ranges::none_of(scenario.engines, [&](const EngineMake& engine) { return engine.kind == kind; }))
+      errors.push_back({path, 0, 0, "kind '" + kind + "' has no engine"});
+
+  scenario.book.drain_grace = config->drain_grace;
+  scenario.book.pin_limit = config->settings.kv_hold_limit;
+  for (std::size_t i = 0; i < config->type_rules.size(); ++i) {
+    const TrafficType& type = config->settings.types[i];
+    RuleBook::Type& rules = scenario.book.types[config->type_rules[i].name];
+    rules = {type.effect, type.group, type.window, type.utility, 0.2};
+    for (const Traffic& traffic : scenario.traffic)
+      if (traffic.type == config->type_rules[i].name) rules.late_share = traffic.late_share;
   }
-  for (const Traffic& traffic : to.traffic)
-    if (!to.book.types.contains(traffic.type))
-      faults.push_back(
+  for (const Traffic& traffic : scenario.traffic)
+    if (!scenario.book.types.contains(traffic.type))
+      errors.push_back(
           {path, 0, 0, "traffic of type '" + traffic.type + "', which no [[traffic_type]] names"});
-  if (faults.size() > before) return std::nullopt;
-  return to;
+  if (errors.size() > errors_before) return std::nullopt;
+  return scenario;
 }
 
 }  // namespace cressrill::rig
--- a/rig/day.h
+++ b/rig/day.h
@@ -1,5 +1,6 @@
-// The script of a day: a fleet, its routers, its traffic, and what goes wrong when. All from one TOML file, whose
-// tables for rules, kinds, types and tenants are those of a router's own file.
+// A scenario: a fleet, its routers, its traffic, and the faults that are injected into them at fixed times.
+// It is read from one TOML file, whose tables for rules, kinds, types and tenants are those of a router's
+// configuration file.
 #pragma once
 
 #include <string>
@@ -11,72 +12,76 @@
 
 namespace cressrill::rig {
 
-struct RouterPlace {
+struct RouterEntry {
   std::string name;
   std::string zone;
 };
 
-// One sort of traffic: sessions whose prompts grow turn by turn behind a beginning that many share.
+// Traffic of one type: sessions whose prompts grow turn by turn behind a prefix that many sessions share.
 struct Traffic {
   std::string type;
   std::string model;
-  double share{};
-  double turns{};     // mean, a session
-  io::Nanos think{};  // mean pause between an answer and the next turn
-  int beginnings{};   // shared ones to choose from, by Zipf
-  int beginning_words{};
-  int turn_words{};     // mean words that a turn adds
-  int out_tokens{};     // mean
-  bool mark{};          // each sequence carries a mark by which a repeat is known
-  double whole{};       // share that asks for a whole answer
-  double late_share{};  // worth of an answer after its latency SLO
+  double share{};               // weight among all traffic of the scenario
+  double mean_turns{};          // of a session
+  io::Nanos mean_think_time{};  // between an answer and the next turn
+  int prefixes{};               // number of shared prefixes; the choice among them follows Zipf's law
+  int prefix_words{};
+  int mean_turn_words{};  // words that a turn adds
+  int mean_output_tokens{};
+  bool idempotency_key{};   // each request carries an idempotency key
+  double complete_share{};  // share of requests that do not ask for a stream
+  double late_share{};      // share of its utility that an answer after its latency SLO is still worth
 };
 
-struct Trouble {
-  io::Nanos at{};
-  io::Nanos span{};
+// A fault that is injected at a fixed time of a scenario: a [[trouble]] table.
+struct ScheduledFault {
+  io::Nanos start{};
+  io::Nanos duration{};
   std::string kind;
-  std::vector<std::string> routers;
-  std::vector<std::string> engines;  // names; one that ends in '*' is a beginning of names
-  double size{};
-  std::string to;
+  std::vector<std::string> routers;  // names; a trailing '*' matches every name with that prefix
+  std::vector<std::string> engines;  // likewise
+  double size{};                     // its meaning depends on the kind
+  std::string target;                // throttle: the tenant or traffic type concerned; empty: all
 };
 
-struct Clients {
+struct ClientSettings {
   int retries = 1;
-  io::Nanos backoff = 200 * io::kMs;
-  double honour = 0.8;                 // share that waits as long as the answer asks
-  double try_share = 0.9;              // a try is given up after this share of the abandon time
-  double leave = 0;                    // share that leaves in mid-stream
-  io::Nanos notice = 2 * io::kSecond;  // the front goes on sending to a dead router for so long
+  io::Nanos backoff = 200 * io::kMs;  // before a retry that does not wait as long as the answer asks
+  double honour_share = 0.8;          // share of retries that wait as long as the answer asks
+  double timeout_share = 0.9;         // a client gives up after this share of the request's time limit
+  double leave_share = 0;             // share of requests whose client leaves during the stream
+  io::Nanos failover_delay =
+      2 * io::kSecond;  // the load balancer keeps sending to a dead router for this time
 };
 
-struct Day {
+struct Scenario {
   std::string name;
   io::Nanos length{};
   std::uint64_t seed{};
-  io::Nanos roster_late{};
-  double rate{};  // sequences a second
-  std::vector<RouterPlace> routers;
+  io::Nanos discovery_delay{};  // between a change of the fleet and its announcement
+  double requests_per_s{};
+  std::vector<RouterEntry> routers;
   std::vector<EngineMake> engines;
   std::vector<Traffic> traffic;
-  std::vector<Trouble> troubles;
-  Clients clients;
-  core::RouterConfig station;  // what all routers share
-  std::string shared;          // the same as TOML text, for their files
+  std::vector<ScheduledFault> faults;
+  ClientSettings clients;
+  core::RouterConfig config;  // the settings that all routers share
+  std::string shared_toml;    // the tables that all routers share, as text for their configuration files
   RuleBook book;
 };
 
-std::optional<Day> read_day(const std::string& path, core::ConfigErrors& faults);
-// The same day with one trouble alone, of the usual size of its kind, in the middle of the day. Throws
-// std::invalid_argument for a kind that is not known.
-void keep_only(Day& day, const std::string& kind);
-std::vector<std::string> trouble_kinds();
-// A router's own file.
-std::string router_file(const Day& day, const RouterPlace& place, const std::string& listen,
+// Returns nothing if the file cannot be read or is invalid; the errors are appended then.
+std::optional<Scenario> read_scenario(const std::string& path, core::ConfigErrors& errors);
+// Replaces all faults of a scenario by one of this kind, of the kind's default size, after a third of the
+// scenario. Throws std::invalid_argument if the kind is unknown.
+void keep_only_fault(Scenario& scenario, const std::string& kind);
+std::vector<std::string> fault_kinds();
+// The text of a router's configuration file.
+std::string router_file(const Scenario& scenario, const RouterEntry& router, const std::string& listen,
                         const std::string& admin, const std::string& roster, const std::string& last_list);
-std::string engines_file(const Day& day);
-// The names that a pattern of a trouble means.
+// The text of the file with all engines of the scenario.
+std::string engines_file(const Scenario& scenario);
+// Whether a name matches one of the patterns. A pattern that ends in '*' matches every name with that prefix.
 bool matches(const std::vector<std::string>& patterns, const std::string& name);
 
 }  // namespace cressrill::rig
--- a/rig/player.h
+++ b/rig/player.h
@@ -1,5 +1,5 @@
-// Plays a day on real processes: starts roster, engines and routers on loopback, drives the crowd, does what the
-// script says goes wrong, and leaves one folder with everything that was noted.
+// Runs a scenario on real processes: starts the discovery stand-in, engines and routers on loopback,
+// generates the load, injects the scheduled faults, and leaves all records in one folder.
 #pragma once
 
 #include <map>
@@ -12,20 +12,22 @@
 namespace cressrill::rig {
 
 struct Programs {
-  std::vector<std::string> router;  // command, to which --config FILE is added
+  std::vector<std::string> router;  // the command, to which --config FILE is appended
   std::string engine;
   std::string roster;
 };
 
-// Puts what the verdict needs beside the records.
+// Stores the settings that the rules are checked with beside the records.
 void write_rule_book(const RuleBook& book, const std::string& folder);
 RuleBook read_rule_book(const std::string& folder);
-// All lines that were noted in a folder. Throws std::invalid_argument with file and line of what cannot be read.
+// Reads all records of a folder. Throws std::invalid_argument with the file and line of a record that cannot
+// be read.
 std::vector<Recorder::Line> read_records(const std::string& folder);
 
-// net: second number of the loopback addresses used, so that several days can be played at once. Returns what went
-// wrong with the programs themselves; empty where nothing did.
-std::vector<std::string> play(const Day& day, const Programs& programs, const std::string& folder,
-                              int net = 0);
+// net: the second byte of the loopback addresses that are used, so that several scenarios can run at once.
+// Returns the failures of the programs themselves, such as a bad exit status. Throws std::invalid_argument if
+// the folder is not empty.
+std::vector<std::string> run_scenario(const Scenario& scenario, const Programs& programs,
+                                      const std::string& folder, int net = 0);
 
 }  // namespace cressrill::rig
