--- a/rig/verdict.cpp
+++ b/rig/verdict.cpp
@@ -87,24 +87,24 @@
       Nanos sent;
       std::string cell, zone, id;
     };
-    std::map<std::string, std::vector<Ran>> ran;  // by sequence
-    std::map<std::string, std::string> type_of;   // by sequence
+    std::map<std::string, std::vector<Ran>> ran;  // by request
+    std::map<std::string, std::string> type_of;   // by request
     std::map<std::string, Nanos> sent;            // by attempt
     std::map<std::string, std::set<std::string>> tries_that_ran;
     for (const Line& l : lines_) {
       const std::string e = text(l, "e");
       if (e == "asked") type_of[text(l, "sequence")] = text(l, "type");
-      const std::string try_id = before_last(text(l, "id"), '-'), sequence = before_last(try_id, '.');
+      const std::string try_id = before_last(text(l, "id"), '-'), request = before_last(try_id, '.');
       if (e == "in") sent[text(l, "id")] = at(l);
       if (e != "ran") continue;
       count_checked(2);
       const auto in = sent.find(text(l, "id"));
-      ran[sequence].push_back(
+      ran[request].push_back(
           {in == sent.end() ? at(l) : in->second, text(l, "cell"), text(l, "zone"), l.dump()});
-      tries_that_ran[sequence].insert(try_id);
+      tries_that_ran[request].insert(try_id);
     }
-    for (const auto& [sequence, list] : ran) {
-      const auto rules = book_.types.find(type_of[sequence]);
+    for (const auto& [request, list] : ran) {
+      const auto rules = book_.types.find(type_of[request]);
       if (rules == book_.types.end()) continue;
       const RuleBook::Type& type = rules->second;
       if (type.effect == Effect::once_only && list.size() > 1)
