--- a/programs/engine.cpp
+++ b/programs/engine.cpp
@@ -19,7 +19,7 @@
                            body.value("for_ms", std::int64_t{0}) * io::kMs, body.value("to", "")};
     bool found = false;
     for (auto& engine : engines)
-      if (engine->make().name == name) {
+      if (engine->config().name == name) {
         engine->apply(fault);
         found = true;
       }
@@ -37,7 +37,7 @@
   co_await http::exchange(pool, http::format_request("POST", "/v1/workers", discovery, "", body));
 }
 
-int run(const std::vector<rig::EngineMake>& configs, const std::string& record_path,
+int run(const std::vector<rig::EngineConfig>& configs, const std::string& record_path,
         const std::string& control_address, const std::string& discovery) {
   io::Loop loop;
   rig::Recorder record(loop, record_path);
@@ -45,7 +45,7 @@
   io::Scope scope(loop);
   std::shared_ptr<http::Pool> pool;
   if (!discovery.empty()) pool = std::make_shared<http::Pool>(loop, *io::parse_address(discovery));
-  for (const rig::EngineMake& config : configs) {
+  for (const rig::EngineConfig& config : configs) {
     engines.push_back(std::make_unique<rig::Engine>(loop, config, record));
     rig::Engine* engine = engines.back().get();
     const auto notify = [&loop, &scope, pool, discovery, engine](bool up) {
@@ -80,12 +80,12 @@
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   core::ConfigErrors errors;
   const auto text = core::parse_toml_file(file, errors);
-  std::vector<rig::EngineMake> configs;
+  std::vector<rig::EngineConfig> configs;
   if (text) {
     core::TomlTable root(*text, "", file, errors);
     configs = rig::read_engines(root);
     root.report_unknown_keys();
-    for (const rig::EngineMake& config : configs)
+    for (const rig::EngineConfig& config : configs)
       if (!io::parse_address(config.address))
         root.add_error("engine", "'" + config.name + "' has no address and port");
   }
--- a/programs/measure.cpp
+++ b/programs/measure.cpp
@@ -107,14 +107,14 @@
   return n;
 }
 
-rig::Question make_request(const io::Address& to, std::size_t number, int out, int words) {
-  rig::Question request;
+rig::ClientRequest make_request(const io::Address& to, std::size_t number, int out, int words) {
+  rig::ClientRequest request;
   request.sequence = "q" + std::to_string(number);
   request.id = request.sequence + ".0";
   request.router = "r";
   request.type = "plain";
-  request.at = to;
-  request.abandon = 60 * io::kSecond;
+  request.address = to;
+  request.time_limit = 60 * io::kSecond;
   std::string text;
   for (int i = 0; i < words; ++i) text += "word ";
   request.body = nlohmann::json{
@@ -153,10 +153,11 @@
     scope.spawn([](io::Loop& l, rig::Recorder& r, const io::Address& a, std::size_t& n, std::size_t all,
                    int tokens, io::Nanos wait, LoadResult& result) -> io::Task<> {
       while (n < all) {
-        const rig::Heard response = co_await rig::ask(l, r, make_request(a, ++n, tokens, 300));
-        if (response.how == "generated") {
-          result.first_ms.push_back(static_cast<double>(response.first) / 1e6);
-          result.gap_ms.push_back(static_cast<double>(response.took - response.first) / 1e6 /
+        const rig::ClientResult response =
+            co_await rig::send_request(l, r, make_request(a, ++n, tokens, 300));
+        if (response.outcome == "generated") {
+          result.first_ms.push_back(static_cast<double>(response.time_to_first_token) / 1e6);
+          result.gap_ms.push_back(static_cast<double>(response.elapsed - response.time_to_first_token) / 1e6 /
                                   std::max(1, tokens - 1));
         } else {
           ++result.failed;
@@ -243,12 +244,12 @@
               co_await l.sleep_for(n * 4 * io::kMs);
               // The router rejects requests while its limits are still growing: they are sent again.
               for (bool streams = false; !streams;) {
-                rig::Question request = make_request(a, static_cast<std::size_t>(n), 100'000, 100);
+                rig::ClientRequest request = make_request(a, static_cast<std::size_t>(n), 100'000, 100);
                 request.on_first = [&] {
                   streams = true;
                   ++count;
                 };
-                co_await rig::ask(l, r, std::move(request));
+                co_await rig::send_request(l, r, std::move(request));
                 if (!streams) co_await l.sleep_for(500 * io::kMs);
               }
             }(loop, no_record, group.router_address, i, streams_started));
--- a/programs/roster.cpp
+++ b/programs/roster.cpp
@@ -23,8 +23,8 @@
   return run_guarded("cressrill-roster", [&] {
     io::Loop loop;
     rig::Recorder recorder(loop, record.empty() ? "/dev/null" : record);
-    rig::Roster discovery(loop, *address, recorder);
-    discovery.late_by(static_cast<io::Nanos>(late_ms * 1e6));
+    rig::DiscoveryStandIn discovery(loop, *address, recorder);
+    discovery.set_delay(static_cast<io::Nanos>(late_ms * 1e6));
     io::run_until_stop_signal(loop);
     return kSuccess;
   });
--- a/programs/soak.cpp
+++ b/programs/soak.cpp
@@ -63,15 +63,15 @@
     std::filesystem::remove_all(options.folder);
     const soak::SoakResult result = soak::run_soak(options);
     options.folder = parent;
-    const soak::Judgement& judgement = result.judgement;
-    const bool passed = judgement.breaches.empty() && result.faults_injected > 0 && judgement.served > 0;
+    const soak::CheckResult& judgement = result.check_result;
+    const bool passed = judgement.breaches.empty() && result.injected_call_faults > 0 && judgement.served > 0;
     failed += !passed;
     std::cout << "seed " << options.seed << ": " << (passed ? "kept" : "BROKEN") << ", " << judgement.requests
               << " requests, " << judgement.served << " served, " << judgement.refused << " refused, "
               << judgement.failed << " failed, " << judgement.left << " left, " << judgement.excused
-              << " excused; " << result.troubles << " troubles, " << result.faults_injected
-              << " calls failed; at most " << result.most_descriptors << " descriptors, "
-              << result.most_memory_kb << " KB\n";
+              << " excused; " << result.faults_started << " troubles, " << result.injected_call_faults
+              << " calls failed; at most " << result.max_descriptors << " descriptors, "
+              << result.max_memory_kb << " KB\n";
     for (const std::string& breach : judgement.breaches) std::cout << "  " << breach << '\n';
     std::cout.flush();
   }
@@ -119,7 +119,7 @@
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   return run_guarded("cressrill-soak", [&] {
     if (one_worker->parsed()) {
-      worker.reads = prefill;
+      worker.is_prefill = prefill;
       worker.address = parse_address(listen);
       if (!cues.empty()) worker.cues = parse_address(cues);
       return run_worker(worker, record);
--- a/programs/verdict.cpp
+++ b/programs/verdict.cpp
@@ -11,8 +11,8 @@
   app.add_option("DIR", folder, "the folder with the records of cressrill-day")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   return run_guarded("cressrill-verdict", [&] {
-    const rig::Verdict verdict = rig::judge(rig::read_records(folder), rig::read_rule_book(folder));
+    const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), rig::read_rule_book(folder));
     std::cout << verdict.text();
-    return verdict.kept() ? kSuccess : kFailure;
+    return verdict.passed() ? kSuccess : kFailure;
   });
 }
--- a/rig/client.cpp
+++ b/rig/client.cpp
@@ -43,20 +43,20 @@
   return "";
 }
 
-void handle_event(std::string_view data, Heard& result, TokenCheck& check, bool& ended) {
+void handle_event(std::string_view data, ClientResult& result, TokenCheck& check, bool& ended) {
   if (data == "[DONE]") {
-    if (result.how.empty()) result.how = "generated";
+    if (result.outcome.empty()) result.outcome = "generated";
     ended = true;
     return;
   }
   const json all = json::parse(data, nullptr, false);
   if (all.is_object() && all.contains("error")) {
-    result.how = ended ? "garbled" : "broken";
+    result.outcome = ended ? "garbled" : "broken";
     ended = true;
     return;
   }
   if (ended || !all.is_object() || !all.contains("choices")) {
-    result.how = "garbled";
+    result.outcome = "garbled";
     return;
   }
   for (const json& choice : all["choices"]) check.add(text_of(choice));
@@ -64,57 +64,57 @@
 
 }  // namespace
 
-io::Task<Heard> ask(io::Loop& loop, Recorder& record, Question request) {
+io::Task<ClientResult> send_request(io::Loop& loop, Recorder& record, ClientRequest request) {
   const io::Nanos started = loop.now();
-  Heard result;
+  ClientResult result;
   const auto finish = [&](const char* how, Recorder::Line fields = Recorder::Line::object()) {
-    result.how = how;
-    result.took = loop.now() - started;
+    result.outcome = how;
+    result.elapsed = loop.now() - started;
     Recorder::Line line{{"id", request.id},
                         {"sequence", request.sequence},
                         {"router", request.router},
                         {"type", request.type},
                         {"how", how},
                         {"status", result.status},
-                        {"first", result.first},
-                        {"took", result.took},
+                        {"first", result.time_to_first_token},
+                        {"took", result.elapsed},
                         {"tokens", result.tokens}};
     line.update(fields);
-    record.note("final", std::move(line));
+    record.record("final", std::move(line));
     return result;
   };
   io::Socket socket;
   const auto connected =
-      co_await io::with_deadline(loop, started + io::kSecond, io::connect(loop, request.at, socket));
+      co_await io::with_deadline(loop, started + io::kSecond, io::connect(loop, request.address, socket));
   if (!connected || !connected->ok()) {
-    result.took = loop.now() - started;
-    result.how = "unreached";
-    record.note("unreached", {{"id", request.id},
-                              {"sequence", request.sequence},
-                              {"router", request.router},
-                              {"type", request.type}});
+    result.elapsed = loop.now() - started;
+    result.outcome = "unreached";
+    record.record("unreached", {{"id", request.id},
+                                {"sequence", request.sequence},
+                                {"router", request.router},
+                                {"type", request.type}});
     co_return result;
   }
   std::string fields =
       fmt::format("content-type: application/json\r\nx-request-id: {}\r\nx-abandon-after-ms: {}\r\n",
-                  request.id, request.abandon / io::kMs);
-  if (!request.key.empty()) fields += "authorization: Bearer " + request.key + "\r\n";
-  if (!request.mark.empty()) fields += "idempotency-key: " + request.mark + "\r\n";
+                  request.id, request.time_limit / io::kMs);
+  if (!request.api_key.empty()) fields += "authorization: Bearer " + request.api_key + "\r\n";
+  if (!request.idempotency_key.empty()) fields += "idempotency-key: " + request.idempotency_key + "\r\n";
   const std::string text =
-      http::format_request("POST", request.path, request.at.to_string(), fields, request.body);
-  record.note("asked", {{"id", request.id},
-                        {"sequence", request.sequence},
-                        {"router", request.router},
-                        {"type", request.type},
-                        {"mark", request.mark},
-                        {"whole", !request.stream},
-                        {"abandon", request.abandon},
-                        {"slo", request.slo}});
+      http::format_request("POST", request.path, request.address.to_string(), fields, request.body);
+  record.record("asked", {{"id", request.id},
+                          {"sequence", request.sequence},
+                          {"router", request.router},
+                          {"type", request.type},
+                          {"mark", request.idempotency_key},
+                          {"whole", !request.stream},
+                          {"abandon", request.time_limit},
+                          {"slo", request.slo}});
   http::MessageReader reader(socket, http::MessageKind::response);
   const io::IoResult written = co_await socket.write_all(text);
   if (!written.ok()) co_return finish("cut");
   const io::Nanos deadline =
-      started + request.abandon + kLateAnswerGrace + (request.stream ? 0 : kCompleteAnswerGrace);
+      started + request.time_limit + kLateAnswerGrace + (request.stream ? 0 : kCompleteAnswerGrace);
   http::Head head;
   const auto head_error = co_await io::with_deadline(loop, deadline, reader.read_head(head));
   if (!head_error) co_return finish("silent");
@@ -130,14 +130,14 @@
     while (reader.has_more()) {
       std::span<const std::string_view> pieces;
       const io::Nanos until =
-          result.first == 0 ? deadline : std::min(leave_at, loop.now() + 60 * io::kSecond);
+          result.time_to_first_token == 0 ? deadline : std::min(leave_at, loop.now() + 60 * io::kSecond);
       const auto body_error = co_await io::with_deadline(loop, until, reader.read_body_pieces(pieces));
       if (!body_error) {
         result.tokens = check.count();
-        co_return finish(result.first == 0 ? "silent" : "left");
+        co_return finish(result.time_to_first_token == 0 ? "silent" : "left");
       }
-      if (result.first == 0 && !pieces.empty()) {
-        result.first = loop.now() - started;
+      if (result.time_to_first_token == 0 && !pieces.empty()) {
+        result.time_to_first_token = loop.now() - started;
         if (request.on_first) request.on_first();
         if (request.leave_after_first > 0) leave_at = loop.now() + request.leave_after_first;
       }
@@ -145,7 +145,7 @@
         events.feed(piece);
         while (const auto data = events.next()) handle_event(*data, result, check, ended);
       }
-      if (*body_error != http::MessageError::none && result.how.empty()) {
+      if (*body_error != http::MessageError::none && result.outcome.empty()) {
         result.tokens = check.count();
         co_return finish("cut");
       }
@@ -153,14 +153,14 @@
     }
     result.tokens = check.count();
     if (events.pending_bytes() > 0 || reader.has_leftover() || !check.ok()) co_return finish("garbled");
-    co_return finish(result.how.empty() ? "cut" : std::string(result.how).c_str());
+    co_return finish(result.outcome.empty() ? "cut" : std::string(result.outcome).c_str());
   }
   std::string body;
   const auto rest = co_await io::with_deadline(loop, deadline + 60 * io::kSecond, reader.read_body(body));
   if (!rest || *rest != http::MessageError::none) co_return finish("cut");
   const json all = json::parse(body, nullptr, false);
   if (head.status == 200) {
-    result.first = loop.now() - started;
+    result.time_to_first_token = loop.now() - started;
     if (all.is_object() && all.contains("choices"))
       for (const json& choice : all["choices"]) check.add(text_of(choice));
     result.tokens = check.count();
--- a/rig/client.h
+++ b/rig/client.h
@@ -10,38 +10,38 @@
 
 namespace cressrill::rig {
 
-struct Question {
+struct ClientRequest {
   std::string id;        // of this try
   std::string sequence;  // of the request: the same for all its tries
   std::string router;    // name of the router it is sent to
-  io::Address at;        // address of that router
+  io::Address address;   // address of that router
   std::string type;
-  std::string key;   // bearer key of a tenant; empty: none
-  std::string mark;  // idempotency key; empty: none
+  std::string api_key;          // bearer key of a tenant; empty: none
+  std::string idempotency_key;  // idempotency key; empty: none
   std::string path = "/v1/chat/completions";
   std::string body;
   bool stream{true};
-  io::Nanos abandon{};             // time limit that is sent with the request
+  io::Nanos time_limit{};          // time limit that is sent with the request
   io::Nanos slo{};                 // only recorded
   std::function<void()> on_first;  // called at the first token; may be empty
   io::Nanos
       leave_after_first{};  // the client closes the connection this long after the first token; 0: never
 };
 
-struct Heard {
+struct ClientResult {
   // The outcome: generated, rejected, aborted, broken (an error event ended the stream), refused (4xx), cut
   // (the connection ended before the response did), unreached (no connection), silent (no response in time),
   // left (the client closed the connection) or garbled (the response is malformed).
-  std::string how;
+  std::string outcome;
   int status{};
-  io::Nanos first{};  // from the start of the request to the first token; 0: none came
-  io::Nanos took{};
+  io::Nanos time_to_first_token{};  // from the start of the request to the first token; 0: none came
+  io::Nanos elapsed{};
   io::Nanos retry_after{};
   std::size_t tokens{};
 };
 
 // Sends the request on a new connection and suspends until its response has ended or the client gives up.
 // Each outcome is recorded as one "final" or "unreached" event.
-io::Task<Heard> ask(io::Loop& loop, Recorder& record, Question question);
+io::Task<ClientResult> send_request(io::Loop& loop, Recorder& record, ClientRequest question);
 
 }  // namespace cressrill::rig
--- a/rig/cost.cpp
+++ b/rig/cost.cpp
@@ -179,7 +179,7 @@
     const int prefill_engines = workload.failures > 0 ? 8 : 2;
     const int decode_engines = workload.idle_streams > 0 ? 4 : 2;  // the last two serve the measured requests
     for (int i = 0; i < prefill_engines + decode_engines; ++i) {
-      EngineMake engine;
+      EngineConfig engine;
       engine.name = fmt::format("{}-{}", i < prefill_engines ? "reader" : "writer", i);
       engine.kind = i < prefill_engines ? "prefill" : "decode";
       engine.role = i < prefill_engines ? Role::prefill : Role::decode;
@@ -193,7 +193,7 @@
       engine.step_ms_per_sequence = 0;
       engine.transfer_per_s = 1e9;
       engines_.push_back(std::make_unique<Engine>(client_loop_, engine, no_record_));
-      if (i < prefill_engines + 2) discovery_.change(listed(*engines_.back(), WorkerStatus::ready));
+      if (i < prefill_engines + 2) discovery_.publish_change(listed(*engines_.back(), WorkerStatus::ready));
     }
     run_for(5 * io::kMs);
     router_ = std::make_unique<router::Instance>(
@@ -236,7 +236,7 @@
     for (std::size_t i = engines_.size() - 4; i < engines_.size(); ++i) {
       const bool idle = i < engines_.size() - 2;
       if (idle) engines_[i]->apply({"slow", 1e9, 0, ""});
-      discovery_.change(listed(*engines_[i], idle ? WorkerStatus::draining : WorkerStatus::ready));
+      discovery_.publish_change(listed(*engines_[i], idle ? WorkerStatus::draining : WorkerStatus::ready));
     }
     run_for(100 * io::kMs);
   }
@@ -245,7 +245,7 @@
     for (int round = 0; round < rounds; ++round) {
       prefills_to_fail_ = workload_.failures;
       for (auto& e : engines_)
-        if (prefills_to_fail_ > 0 && e->make().role == Role::prefill) e->apply({"fast_errors", 1, 0, ""});
+        if (prefills_to_fail_ > 0 && e->config().role == Role::prefill) e->apply({"fast_errors", 1, 0, ""});
       requests_answered_ = 0;
       for (int i = 0; i < workload_.concurrency; ++i) ask(workload_.events, false);
       run_until([&] { return requests_answered_ == workload_.concurrency; });
@@ -271,13 +271,13 @@
   }
 
   void ask(int events, bool idle) {
-    Question request;
+    ClientRequest request;
     request.sequence = fmt::format("q{}", ++requests_sent_);
     request.id = request.sequence + ".0";
     request.router = "r";
     request.type = "plain";
-    request.at = router_->address();
-    request.abandon = 500 * io::kSecond;
+    request.address = router_->address();
+    request.time_limit = 500 * io::kSecond;
     request.stream = workload_.stream || idle;
     std::string text;
     while (text.size() < workload_.prompt_bytes) text += "word ";
@@ -293,12 +293,12 @@
             .dump();
     if (!idle) body_ = request.body;
     if (idle) request.on_first = [this] { ++streams_started_; };
-    clients_.spawn([](CostMeasurement& measurement, Question to_send, bool is_idle) -> io::Task<> {
-      const Heard result =
-          co_await rig::ask(measurement.client_loop_, measurement.no_record_, std::move(to_send));
+    clients_.spawn([](CostMeasurement& measurement, ClientRequest to_send, bool is_idle) -> io::Task<> {
+      const ClientResult result =
+          co_await rig::send_request(measurement.client_loop_, measurement.no_record_, std::move(to_send));
       if (is_idle) co_return;
       ++measurement.requests_answered_;
-      if (result.how != "generated" ||
+      if (result.outcome != "generated" ||
           (measurement.workload_.stream &&
            result.tokens != static_cast<std::size_t>(measurement.workload_.events)))
         ++measurement.result_.failed;
@@ -375,7 +375,7 @@
   io::Loop client_loop_{io::Loop::Clock::simulated};
   io::Loop router_loop_{io::Loop::Clock::simulated};
   Recorder no_record_;
-  Roster discovery_;
+  DiscoveryStandIn discovery_;
   core::RouterConfig config_;
   core::Log log_;
   std::vector<std::unique_ptr<Engine>> engines_;
--- a/rig/crowd.cpp
+++ b/rig/crowd.cpp
@@ -65,7 +65,7 @@
 
 io::Task<> LoadGenerator::run_turn(Session& session) {
   const Traffic& traffic = scenario_.traffic[session.traffic];
-  const RuleBook::Type& type = scenario_.book.types.at(traffic.type);
+  const RuleSettings::Type& type = scenario_.book.types.at(traffic.type);
   const auto index = static_cast<std::size_t>(
       std::ranges::find_if(scenario_.config.type_rules,
                            [&](const core::TrafficTypeRule& r) { return r.name == traffic.type; }) -
@@ -74,12 +74,12 @@
   const int output_tokens = std::clamp(static_cast<int>(exponential(traffic.mean_output_tokens)), 2,
                                        8 * traffic.mean_output_tokens);
   const bool stream = uniform() >= traffic.complete_share;
-  Question request;
+  ClientRequest request;
   request.sequence = id;
   request.type = traffic.type;
   request.stream = stream;
   request.body = body(session, traffic, output_tokens, stream);
-  if (traffic.idempotency_key) request.mark = "mark-" + id;
+  if (traffic.idempotency_key) request.idempotency_key = "mark-" + id;
   const double prompt_tokens = static_cast<double>(tokenize(request.body).count);
   const core::TrafficTypeRule& rule = scenario_.config.type_rules[index];
   const auto per_1000 = [&](Nanos span) {
@@ -88,33 +88,34 @@
   request.slo = scenario_.config.settings.types[index].slo +
                 per_1000(scenario_.config.settings.types[index].slo_per_1000_tokens);
   const double share = scenario_.clients.timeout_share * timeout_factor_;
-  request.abandon = static_cast<Nanos>(
+  request.time_limit = static_cast<Nanos>(
       share * static_cast<double>(rule.time_limit + per_1000(rule.time_limit_per_1000_tokens)));
-  request.abandon = request.abandon / io::kMs * io::kMs;
+  request.time_limit = request.time_limit / io::kMs * io::kMs;
   if (uniform() < scenario_.clients.leave_share) request.leave_after_first = 50 * io::kMs;
   for (const core::Tenant& tenant : scenario_.config.tenants)
-    if (!tenant.api_keys.empty() && (request.key.empty() || uniform() < 0.5))
-      request.key = tenant.api_keys.front();
+    if (!tenant.api_keys.empty() && (request.api_key.empty() || uniform() < 0.5))
+      request.api_key = tenant.api_keys.front();
   const io::Nanos first_sent = loop_.now();
   for (int retry = 0;; ++retry) {
     const std::size_t router = pick_router(session.zone);
     request.id = fmt::format("{}.{}", id, retry);
     request.router = scenario_.routers[router].name;
-    request.at = address_of_(router);
+    request.address = address_of_(router);
     ++attempts_sent_;
-    const Heard result = co_await ask(loop_, record_, request);
-    if (result.how == "generated") {
+    const ClientResult result = co_await send_request(loop_, record_, request);
+    if (result.outcome == "generated") {
       std::string answer;
       for (std::size_t i = 0; i < result.tokens; ++i) answer += "t" + std::to_string(i) + " ";
       session.messages.push_back(answer);
       co_return;
     }
-    const bool harmless = result.how == "rejected" || result.how == "unreached" ||
+    const bool harmless = result.outcome == "rejected" || result.outcome == "unreached" ||
                           type.effect == Effect::repeatable ||
                           (type.effect == Effect::tokened && type.group == Group::all);
     // An idempotency key is valid only for the window of its type: a client does not retry after that.
     if (type.effect == Effect::tokened && loop_.now() + io::kSecond > first_sent + type.window) co_return;
-    if (result.how == "left" || result.how == "refused" || !harmless || retry >= scenario_.clients.retries)
+    if (result.outcome == "left" || result.outcome == "refused" || !harmless ||
+        retry >= scenario_.clients.retries)
       co_return;
     const bool waits_as_told = result.retry_after > 0 && uniform() < scenario_.clients.honour_share;
     co_await loop_.sleep_for(waits_as_told ? result.retry_after : scenario_.clients.backoff);
--- a/rig/day.cpp
+++ b/rig/day.cpp
@@ -173,7 +173,7 @@
 std::string engines_file(const Scenario& scenario) {
   std::string text;
   static constexpr const char* kRoles[] = {"reader", "writer", "mixed"};
-  for (const EngineMake& engine : scenario.engines)
+  for (const EngineConfig& engine : scenario.engines)
     text += fmt::format(
         "[[engine]]\nname = \"{}\"\naddress = \"{}\"\nkind = \"{}\"\nrole = \"{}\"\nzone = \"{}\"\ncell = "
         "\"{}\"\n"
@@ -236,20 +236,21 @@
     errors.push_back({path, 0, 0, "in the tables shared by all routers: " + error.message});
   if (!config) return std::nullopt;
   scenario.config = *config;
-  for (const EngineMake& engine : scenario.engines)
+  for (const EngineConfig& engine : scenario.engines)
     if (std::ranges::find(config->kind_names, engine.kind) == config->kind_names.end())
       errors.push_back(
           {path, 0, 0,
            "engine '" + engine.name + "' is of kind '" + engine.kind + "', which no [[kind]] names"});
   for (const std::string& kind : config->kind_names)
-    if (std::ranges::none_of(scenario.engines, [&](const EngineMake& engine) { return engine.kind == kind; }))
+    if (std::ranges::none_of(scenario.engines,
+                             [&](const EngineConfig& engine) { return engine.kind == kind; }))
       errors.push_back({path, 0, 0, "kind '" + kind + "' has no engine"});
 
   scenario.book.drain_grace = config->drain_grace;
   scenario.book.pin_limit = config->settings.kv_hold_limit;
   for (std::size_t i = 0; i < config->type_rules.size(); ++i) {
     const TrafficType& type = config->settings.types[i];
-    RuleBook::Type& rules = scenario.book.types[config->type_rules[i].name];
+    RuleSettings::Type& rules = scenario.book.types[config->type_rules[i].name];
     rules = {type.effect, type.group, type.window, type.utility, 0.2};
     for (const Traffic& traffic : scenario.traffic)
       if (traffic.type == config->type_rules[i].name) rules.late_share = traffic.late_share;
--- a/rig/day.h
+++ b/rig/day.h
@@ -61,13 +61,13 @@
   io::Nanos discovery_delay{};  // between a change of the fleet and its announcement
   double requests_per_s{};
   std::vector<RouterEntry> routers;
-  std::vector<EngineMake> engines;
+  std::vector<EngineConfig> engines;
   std::vector<Traffic> traffic;
   std::vector<ScheduledFault> faults;
   ClientSettings clients;
   core::RouterConfig config;  // the settings that all routers share
   std::string shared_toml;    // the tables that all routers share, as text for their configuration files
-  RuleBook book;
+  RuleSettings book;
 };
 
 // Returns nothing if the file cannot be read or is invalid; the errors are appended then.
--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -59,7 +59,7 @@
   return out;
 }
 
-Engine::Engine(io::Loop& loop, EngineMake config, Recorder& record)
+Engine::Engine(io::Loop& loop, EngineConfig config, Recorder& record)
     : loop_(loop),
       config_(std::move(config)),
       record_(record),
@@ -92,12 +92,12 @@
   silent_ = false;
   work_.spawn(run_prefills());
   work_.spawn(run_decode_steps());
-  record_.note("up", {{"engine", config_.name}});
+  record_.record("up", {{"engine", config_.name}});
 }
 
 void Engine::stop(const char* why) {
   if (!server_) return;
-  record_.note("down", {{"engine", config_.name}, {"why", why}});
+  record_.record("down", {{"engine", config_.name}, {"why", why}});
   server_->kill();
   server_.reset();
   work_.cancel();
@@ -105,7 +105,7 @@
   decode_queue_.clear();
   running_.clear();
   fetching_.clear();
-  for (const auto& [id, state] : kv_entries_) record_.note("lost", {{"engine", config_.name}, {"id", id}});
+  for (const auto& [id, state] : kv_entries_) record_.record("lost", {{"engine", config_.name}, {"id", id}});
   kv_entries_.clear();
   cached_blocks_.clear();
   cache_order_.clear();
@@ -122,10 +122,10 @@
 }
 
 void Engine::apply(const Fault& fault) {
-  record_.note("fault", {{"engine", config_.name},
-                         {"kind", fault.kind},
-                         {"size", fault.size},
-                         {"for_ms", fault.span / io::kMs}});
+  record_.record("fault", {{"engine", config_.name},
+                           {"kind", fault.kind},
+                           {"size", fault.size},
+                           {"for_ms", fault.span / io::kMs}});
   const auto ends = [&](std::function<void()> then) {
     if (fault.span > 0) faults_.spawn(run_after(fault.span, std::move(then)));
   };
@@ -222,7 +222,7 @@
 void Engine::record_job(const char* event, const Job& job, Recorder::Line more) {
   Recorder::Line line{{"engine", config_.name}, {"id", job.id}, {"router", job.router}};
   line.update(more);
-  record_.note(event, std::move(line));
+  record_.record(event, std::move(line));
 }
 
 io::Task<> Engine::wait_while_silent() {
@@ -415,7 +415,7 @@
   if (it == kv_entries_.end() || (it->second.transferring && std::string_view(how) != "taken")) return;
   kv_tokens_held_ -= it->second.tokens;
   kv_entries_.erase(it);
-  record_.note(how, {{"engine", config_.name}, {"id", id}});
+  record_.record(how, {{"engine", config_.name}, {"id", id}});
 }
 
 io::Task<> Engine::serve_kv_fetch(const std::string& id, const std::string& cell,
--- a/rig/engine.h
+++ b/rig/engine.h
@@ -18,7 +18,7 @@
 
 namespace cressrill::rig {
 
-struct EngineMake {
+struct EngineConfig {
   std::string name;
   std::string address;
   std::string kind;
@@ -64,17 +64,19 @@
 // Requests, KV cache and prefix cache are lost when a fault stops the engine.
 class Engine {
  public:
-  Engine(io::Loop& loop, EngineMake config, Recorder& record);
+  Engine(io::Loop& loop, EngineConfig config, Recorder& record);
   ~Engine();
-  const EngineMake& make() const { return config_; }
+  const EngineConfig& config() const { return config_; }
   const io::Address& address() const { return address_; }
   bool up() const { return server_ != nullptr; }
   io::Nanos started() const { return started_; }
   void apply(const Fault& fault);
   // Called after every restart and stop, so that the worker list can follow.
   void on_change(std::function<void(bool up)> callback) { on_change_ = std::move(callback); }
-  std::size_t states() const { return kv_entries_.size(); }
-  std::size_t in_hand() const { return prefill_queue_.size() + decode_queue_.size() + running_.size(); }
+  std::size_t kv_entries() const { return kv_entries_.size(); }
+  std::size_t requests_in_progress() const {
+    return prefill_queue_.size() + decode_queue_.size() + running_.size();
+  }
 
  private:
   struct Job {
@@ -132,7 +134,7 @@
   io::Task<> run_after(io::Nanos span, std::function<void()> then);
 
   io::Loop& loop_;
-  EngineMake config_;
+  EngineConfig config_;
   Recorder& record_;
   io::Address address_;
   std::function<void(bool)> on_change_;
--- a/rig/fault_plan.h
+++ b/rig/fault_plan.h
@@ -24,26 +24,26 @@
   write,
   read,
 };
-constexpr std::size_t kFaultyCalls = 11;
-constexpr std::array<const char*, kFaultyCalls> kFaultyCallNames{
+constexpr std::size_t kFaultyCallCount = 11;
+constexpr std::array<const char*, kFaultyCallCount> kFaultyCallNames{
     "accept",     "connect",    "socket",   "receive", "send", "epoll_add",
     "epoll_wait", "get_option", "shutdown", "write",   "read"};
 
-inline const char* word(FaultyCall call) { return kFaultyCallNames[static_cast<std::size_t>(call)]; }
+inline const char* to_string(FaultyCall call) { return kFaultyCallNames[static_cast<std::size_t>(call)]; }
 
 // The fault of one system call. With `error` and `most_bytes` at 0 the call works normally.
 struct CallFault {
-  std::atomic<int> error{};                 // errno to fail with; 0: none
-  std::atomic<std::uint32_t> one_in{};      // every n-th call fails; 0 or 1: every call
-  std::atomic<std::uint32_t> at_most{};     // the fault ends after this many failed calls; 0: it lasts
-  std::atomic<std::uint32_t> most_bytes{};  // a transfer moves at most this many bytes; 0: no limit
-  std::atomic<std::uint32_t> calls{};       // calls made while `error` was set
-  std::atomic<std::uint64_t> injected{};    // calls that failed or were shortened
+  std::atomic<int> error{};                   // errno to fail with; 0: none
+  std::atomic<std::uint32_t> one_in{};        // every n-th call fails; 0 or 1: every call
+  std::atomic<std::uint32_t> max_injected{};  // the fault ends after this many failed calls; 0: it lasts
+  std::atomic<std::uint32_t> max_bytes{};     // a transfer moves at most this many bytes; 0: no limit
+  std::atomic<std::uint32_t> calls{};         // calls made while `error` was set
+  std::atomic<std::uint64_t> injected{};      // calls that failed or were shortened
 };
 
 struct FaultPlan {
   std::atomic<std::int64_t> wall_clock_offset{};  // nanoseconds, added to CLOCK_REALTIME
-  std::array<CallFault, kFaultyCalls> calls;
+  std::array<CallFault, kFaultyCallCount> calls;
 
   CallFault& of(FaultyCall call) { return calls[static_cast<std::size_t>(call)]; }
   // Ends all faults of system calls; the counts and the clock offset stay.
@@ -51,8 +51,8 @@
     for (CallFault& fault : calls) {
       fault.error = 0;
       fault.one_in = 0;
-      fault.at_most = 0;
-      fault.most_bytes = 0;
+      fault.max_injected = 0;
+      fault.max_bytes = 0;
     }
   }
 };
--- a/rig/fault_shim.cpp
+++ b/rig/fault_shim.cpp
@@ -44,7 +44,7 @@
   if (error == 0) return false;
   const std::uint32_t one_in = std::max<std::uint32_t>(1, fault.one_in);
   if (++fault.calls % one_in != 0) return false;
-  if (++fault.injected == fault.at_most) fault.error = 0;
+  if (++fault.injected == fault.max_injected) fault.error = 0;
   errno = error;
   return true;
 }
@@ -52,7 +52,7 @@
 // How many of these bytes the transfer may move.
 std::size_t transfer_limit(FaultyCall call, std::size_t bytes) {
   CallFault& fault = cressrill_fault_plan()->of(call);
-  const std::uint32_t most = fault.most_bytes;
+  const std::uint32_t most = fault.max_bytes;
   if (most == 0 || bytes <= most) return bytes;
   ++fault.injected;
   return most;
--- a/rig/fleet_file.cpp
+++ b/rig/fleet_file.cpp
@@ -2,10 +2,10 @@
 
 namespace cressrill::rig {
 
-std::vector<EngineMake> read_engines(core::TomlTable& root) {
-  std::vector<EngineMake> out;
+std::vector<EngineConfig> read_engines(core::TomlTable& root) {
+  std::vector<EngineConfig> out;
   for (core::TomlTable& table : root.tables("engine", true)) {
-    EngineMake engine;
+    EngineConfig engine;
     const std::string name = table.string("name");
     const int count = table.integer("count", 1, 100'000, 1);
     engine.address = table.string("address", "");
@@ -41,7 +41,7 @@
 }
 
 core::ListedWorker listed(const Engine& engine, WorkerStatus status) {
-  const EngineMake& config = engine.make();
+  const EngineConfig& config = engine.config();
   return {config.name, config.address, status, 0, config.kind, config.zone, config.cell};
 }
 
--- a/rig/fleet_file.h
+++ b/rig/fleet_file.h
@@ -10,7 +10,7 @@
 
 // Reads the [[engine]] tables and leaves the others to the caller. Engines of a table with 'count' are named
 // name-0, name-1 and so on. An engine without an address gets one from the caller.
-std::vector<EngineMake> read_engines(core::TomlTable& root);
+std::vector<EngineConfig> read_engines(core::TomlTable& root);
 // The entry of an engine in the worker list.
 core::ListedWorker listed(const Engine& engine, WorkerStatus status);
 
--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -199,13 +199,13 @@
   attempt.answer = answer;
   attempt.answer_sent_at = now_;
   if (answer == Answer::started) {
-    marks_.push_back({HoldMark::What::taken, now_, attempt.worker});
+    marks_.push_back({KvAction::Kind::taken, now_, attempt.worker});
     attempt.has_taken_kv = true;
     held_ = false;
     return;
   }
   if (answer == Answer::done || answer == Answer::failed) {
-    marks_.push_back({HoldMark::What::held, now_, attempt.worker});
+    marks_.push_back({KvAction::Kind::held, now_, attempt.worker});
     held_ = held_ || !attempt.voided;
   }
   end_at_worker(attempt);
@@ -250,7 +250,7 @@
 void HoldModel::release_arrives() {
   release_.arrived = true;
   release_.arrived_at = now_;
-  marks_.push_back({HoldMark::What::released, now_, -1});
+  marks_.push_back({KvAction::Kind::released, now_, -1});
   const bool awaited = std::ranges::any_of(attempts_, [](const Attempt& attempt) {
     return !attempt.is_prefill && attempt.at_worker() && !attempt.has_taken_kv;
   });
@@ -351,7 +351,7 @@
   for (const Attempt& attempt : attempts_)
     if (attempt.arrived())
       spans.push_back({attempt.arrived_at, attempt.ended_at, attempt.worker, attempt.is_prefill});
-  std::ranges::sort(spans, {}, &AttemptSpan::came);
+  std::ranges::sort(spans, {}, &AttemptSpan::arrived_at);
   for (const HeldSpan& span : held_spans(spans, marks_, now_))
     if (span.unattended > options_.limit + kHoldGrace)
       fail(fmt::format("held for {} ms where {} are allowed", span.unattended / kMs,
@@ -381,7 +381,7 @@
         attempt.voided + attempt.silent * 128);
   }
   for (const Link& link : links_) add(link.silent ? link.silent_since + 1 : -link.passing_since);
-  for (const HoldMark& mark : marks_) add(mark.at * 3 + static_cast<int>(mark.what));
+  for (const KvAction& mark : marks_) add(mark.at * 3 + static_cast<int>(mark.kind));
   add(release_.in_flight * 4 + release_.arrived * 2 + request_over_);
   return result;
 }
--- a/rig/model/hold_model.h
+++ b/rig/model/hold_model.h
@@ -153,7 +153,7 @@
   Nanos now_{};
   std::vector<Attempt> attempts_;
   std::vector<Link> links_;
-  std::vector<HoldMark> marks_;
+  std::vector<KvAction> marks_;
   ReleaseCall release_;
   bool held_{};  // a worker holds KV cache
   bool request_over_{};
--- a/rig/player.cpp
+++ b/rig/player.cpp
@@ -117,10 +117,10 @@
 
   io::Task<> run_all(bool& done) {
     if (co_await start_all()) {
-      record_.note("begins", {{"day", scenario_.name}});
+      record_.record("begins", {{"day", scenario_.name}});
       for (const ScheduledFault& fault : scenario_.faults) scope_.spawn(inject(fault));
       co_await load_.run();
-      record_.note("ends", {{"day", scenario_.name}});
+      record_.record("ends", {{"day", scenario_.name}});
       co_await stop_all();
     }
     done = true;
@@ -150,25 +150,25 @@
     }
   }
 
-  core::ListedWorker list_entry(const EngineMake& engine, WorkerStatus status) const {
+  core::ListedWorker list_entry(const EngineConfig& engine, WorkerStatus status) const {
     return {engine.name, engine.address, status, 0, engine.kind, engine.zone, engine.cell};
   }
 
   io::Task<> restart_router(std::size_t i, io::Nanos downtime) {
-    record_.note("router_killed", {{"router", scenario_.routers[i].name}});
+    record_.record("router_killed", {{"router", scenario_.routers[i].name}});
     routers_[i].kill();
     load_.router_stopped(i);
     co_await loop_.sleep_for(downtime);
     start_router(i);
     if (co_await poll_until(admin_address(i), "/health", [](const std::string&) { return true; })) {
       load_.router_restarted(i);
-      record_.note("router_up", {{"router", scenario_.routers[i].name}});
+      record_.record("router_up", {{"router", scenario_.routers[i].name}});
     } else {
       failures_.push_back("router " + scenario_.routers[i].name + " did not start again");
     }
   }
 
-  io::Task<> drain(const EngineMake& engine, io::Nanos duration) {
+  io::Task<> drain(const EngineConfig& engine, io::Nanos duration) {
     const std::string out =
         core::serialize_worker_list({0, false, {list_entry(engine, WorkerStatus::draining)}});
     co_await exchange(discovery_address(), "POST", "/v1/workers", out);
@@ -193,12 +193,12 @@
 
   io::Task<> inject(ScheduledFault fault) {
     co_await loop_.sleep_for(fault.start);
-    record_.note("trouble", {{"kind", fault.kind}});
+    record_.record("trouble", {{"kind", fault.kind}});
     std::vector<std::size_t> routers;
-    std::vector<const EngineMake*> engines;
+    std::vector<const EngineConfig*> engines;
     for (std::size_t i = 0; i < scenario_.routers.size(); ++i)
       if (matches(fault.routers, scenario_.routers[i].name)) routers.push_back(i);
-    for (const EngineMake& engine : scenario_.engines)
+    for (const EngineConfig& engine : scenario_.engines)
       if (matches(fault.engines, engine.name)) engines.push_back(&engine);
     if (fault.kind == "balancer_crash") {
       for (const std::size_t i : routers) scope_.spawn(restart_router(i, fault.duration));
@@ -209,9 +209,9 @@
       }
     } else if (fault.kind == "mass_restart") {  // all at once; they restart cold
       fault.kind = "crash";
-      for (const EngineMake* engine : engines) scope_.spawn(engine_fault(engine->name, fault));
+      for (const EngineConfig* engine : engines) scope_.spawn(engine_fault(engine->name, fault));
     } else if (fault.kind == "drain") {
-      for (const EngineMake* engine : engines) scope_.spawn(drain(*engine, fault.duration));
+      for (const EngineConfig* engine : engines) scope_.spawn(drain(*engine, fault.duration));
     } else if (fault.kind == "discovery_stale") {
       co_await exchange(discovery_address(), "POST",
                         fmt::format("/late?ms={}", static_cast<long>(fault.size)), "");
@@ -238,7 +238,7 @@
       co_await loop_.sleep_for(fault.duration);
       load_.set_timeout_factor(1);
     } else {
-      for (const EngineMake* engine : engines) scope_.spawn(engine_fault(engine->name, fault));
+      for (const EngineConfig* engine : engines) scope_.spawn(engine_fault(engine->name, fault));
     }
   }
 
@@ -259,7 +259,7 @@
 
 }  // namespace
 
-void write_rule_book(const RuleBook& book, const std::string& folder) {
+void write_rule_book(const RuleSettings& book, const std::string& folder) {
   json out{{"answer_slack", book.answer_slack},
            {"drain_grace", book.drain_grace},
            {"pin_limit", book.pin_limit},
@@ -274,11 +274,11 @@
   std::ofstream(folder + "/rules.json") << out.dump(2) << '\n';
 }
 
-RuleBook read_rule_book(const std::string& folder) {
+RuleSettings read_rule_book(const std::string& folder) {
   std::ifstream file(folder + "/rules.json");
   if (!file) throw std::invalid_argument(folder + "/rules.json cannot be read");
   const json from = json::parse(file);
-  RuleBook out;
+  RuleSettings out;
   from.at("answer_slack").get_to(out.answer_slack);
   from.at("drain_grace").get_to(out.drain_grace);
   from.at("pin_limit").get_to(out.pin_limit);
--- a/rig/record.h
+++ b/rig/record.h
@@ -19,7 +19,7 @@
   }
   using Line = nlohmann::ordered_json;
   // Adds the time ("t") and the event ("e") to the line, and flushes it to the file.
-  void note(const char* event, Line line) {
+  void record(const char* event, Line line) {
     Line out{{"t", loop_.now()}, {"e", event}};
     out.update(line);
     if (in_memory_)
--- a/rig/roster.cpp
+++ b/rig/roster.cpp
@@ -2,23 +2,25 @@
 
 namespace cressrill::rig {
 
-Roster::Roster(io::Loop& loop, io::Address address, Recorder& record)
+DiscoveryStandIn::DiscoveryStandIn(io::Loop& loop, io::Address address, Recorder& record)
     : loop_(loop),
       record_(record),
       server_(std::make_unique<http::Server>(
           loop, address, [this](http::Request& rq, http::ResponseWriter& a) { return serve(rq, a); })),
       scope_(loop) {}
 
-Roster::~Roster() { go_away(); }
+DiscoveryStandIn::~DiscoveryStandIn() { shut_down(); }
 
-void Roster::go_away() {
+void DiscoveryStandIn::shut_down() {
   if (server_) server_->kill();
   watchers_.clear();
 }
 
-void Roster::change(core::ListedWorker worker) { scope_.spawn(publish(std::move(worker), delay_)); }
+void DiscoveryStandIn::publish_change(core::ListedWorker worker) {
+  scope_.spawn(publish(std::move(worker), delay_));
+}
 
-io::Task<> Roster::publish(core::ListedWorker worker, io::Nanos delay) {
+io::Task<> DiscoveryStandIn::publish(core::ListedWorker worker, io::Nanos delay) {
   if (delay > 0) co_await loop_.sleep_for(delay);
   if (worker.status == WorkerStatus::gone)
     list_.erase(worker.name);
@@ -28,13 +30,13 @@
   for (Watcher* watcher : watchers_) watcher->published.notify();
 }
 
-void Roster::record_sent(const std::string& router, const core::WorkerList& list) {
+void DiscoveryStandIn::record_sent(const std::string& router, const core::WorkerList& list) {
   nlohmann::ordered_json all = nlohmann::ordered_json::object();
   for (const auto& w : list.workers) all[w.name] = core::to_string(w.status);
-  record_.note("told", {{"router", router}, {"complete", list.complete}, {"workers", all}});
+  record_.record("told", {{"router", router}, {"complete", list.complete}, {"workers", all}});
 }
 
-io::Task<> Roster::serve(http::Request& request, http::ResponseWriter& answer) {
+io::Task<> DiscoveryStandIn::serve(http::Request& request, http::ResponseWriter& answer) {
   const std::string target(request.head.target);
   constexpr std::string_view kWatchTarget = "/v1/workers?watch=";
   if (request.head.method == "GET" && target.starts_with(kWatchTarget)) {
@@ -52,7 +54,7 @@
   if (request.head.method == "POST" && target == "/v1/workers") {
     std::string error;
     try {
-      for (auto& w : core::parse_worker_list(request.body).workers) change(w);
+      for (auto& w : core::parse_worker_list(request.body).workers) publish_change(w);
     } catch (const std::invalid_argument& e) {
       error = e.what();
     }
@@ -60,14 +62,14 @@
     co_return;
   }
   if (request.head.method == "POST" && target.starts_with("/late?ms=")) {
-    late_by(std::atoll(target.c_str() + 9) * io::kMs);
+    set_delay(std::atoll(target.c_str() + 9) * io::kMs);
     co_await answer.respond(200, "", "");
     co_return;
   }
   co_await answer.respond(404, "", "");
 }
 
-io::Task<> Roster::watch(const std::string& router, http::ResponseWriter& answer) {
+io::Task<> DiscoveryStandIn::watch(const std::string& router, http::ResponseWriter& answer) {
   Watcher self(loop_);
   self.router = router;
   watchers_.push_back(&self);
--- a/rig/roster.h
+++ b/rig/roster.h
@@ -13,16 +13,16 @@
 
 namespace cressrill::rig {
 
-class Roster {
+class DiscoveryStandIn {
  public:
-  Roster(io::Loop& loop, io::Address address, Recorder& record);
-  ~Roster();
+  DiscoveryStandIn(io::Loop& loop, io::Address address, Recorder& record);
+  ~DiscoveryStandIn();
   const io::Address& address() const { return server_->address(); }
-  void late_by(io::Nanos delay) { delay_ = delay; }
+  void set_delay(io::Nanos delay) { delay_ = delay; }
   // Publishes a change after the delay that is set now.
-  void change(core::ListedWorker worker);
+  void publish_change(core::ListedWorker worker);
   // Closes the server for good: watchers are disconnected and no connection is accepted.
-  void go_away();
+  void shut_down();
 
  private:
   struct Watcher {
--- a/rig/soak/checker.cpp
+++ b/rig/soak/checker.cpp
@@ -58,7 +58,7 @@
   std::string failure;  // why there was no answer
   Nanos failed_at{};
   std::vector<Attempt> attempts;
-  std::vector<HoldMark> hold_marks;                             // in order of time
+  std::vector<KvAction> hold_marks;                             // in order of time
   std::map<int, std::pair<Nanos, std::string>> events_written;  // by event index: the time and the worker
   std::map<int, Nanos> events_read;
 };
@@ -73,7 +73,7 @@
   Checker(std::vector<Recorder::Line> lines, const CheckerLimits& limits)
       : records_(std::move(lines)), limits_(limits) {}
 
-  Judgement run() {
+  CheckResult run() {
     std::ranges::stable_sort(records_, {}, [](const Recorder::Line& l) { return l.at("t").get<Nanos>(); });
     for (const Recorder::Line& line : records_) read_line(line);
     for (const auto& [id, request] : requests_) check_request(id, request);
@@ -129,11 +129,11 @@
                                   line.at("reads"), false, line.at("budget_ms")});
     if (event == "post_end" || event == "turned_away") end_attempt(request, event, at, line);
     if (event == "held")
-      request.hold_marks.push_back({HoldMark::What::held, at, worker_number(line.at("worker"))});
+      request.hold_marks.push_back({KvAction::Kind::held, at, worker_number(line.at("worker"))});
     if (event == "fetched")
-      request.hold_marks.push_back({HoldMark::What::taken, at, worker_number(line.at("worker"))});
+      request.hold_marks.push_back({KvAction::Kind::taken, at, worker_number(line.at("worker"))});
     if (event == "released")
-      request.hold_marks.push_back({HoldMark::What::released, at, worker_number(line.at("worker"))});
+      request.hold_marks.push_back({KvAction::Kind::released, at, worker_number(line.at("worker"))});
     // A client receives only one stream, the one that started last.
     if (event == "event" && line.at("index") == 0) request.events_written.clear();
     if (event == "event") request.events_written[line.at("index")] = {at, line.at("worker")};
@@ -316,8 +316,8 @@
                               const HeldSpan& span) const {
     const Nanos kill = first_kill(request, span.from, span.until);
     if (kill == kNever) return span.unattended;
-    std::vector<HoldMark> marks_before = request.hold_marks;
-    std::erase_if(marks_before, [kill](const HoldMark& mark) { return mark.at > kill; });
+    std::vector<KvAction> marks_before = request.hold_marks;
+    std::erase_if(marks_before, [kill](const KvAction& mark) { return mark.at > kill; });
     for (const HeldSpan& span_until_kill : held_spans(attempts, marks_before, kill))
       if (span_until_kill.from == span.from) return span_until_kill.unattended;
     return 0;
@@ -348,7 +348,7 @@
   std::vector<Recorder::Line> records_;
   std::map<std::string, int> worker_numbers_;
   CheckerLimits limits_;
-  Judgement result_;
+  CheckResult result_;
   std::map<std::string, Request> requests_;
   std::map<std::string, std::vector<TimeSpan>> process_stops_;
   std::map<std::string, std::vector<Nanos>> kills_;
@@ -363,7 +363,7 @@
 
 }  // namespace
 
-Judgement check(std::vector<Recorder::Line> lines, const CheckerLimits& limits) {
+CheckResult check(std::vector<Recorder::Line> lines, const CheckerLimits& limits) {
   return Checker(std::move(lines), limits).run();
 }
 
--- a/rig/soak/checker.h
+++ b/rig/soak/checker.h
@@ -16,7 +16,7 @@
   io::Nanos window = 1500 * io::kMs;      // in which a request with an idempotency key may be repeated
 };
 
-struct Judgement {
+struct CheckResult {
   std::vector<std::string> breaches;  // one line each
   std::size_t requests{};
   std::size_t served{};
@@ -27,6 +27,6 @@
 };
 
 // Sorts the lines by time. A record without a required field throws nlohmann::json::exception.
-Judgement check(std::vector<Recorder::Line> lines, const CheckerLimits& limits);
+CheckResult check(std::vector<Recorder::Line> lines, const CheckerLimits& limits);
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/clients.cpp
+++ b/rig/soak/clients.cpp
@@ -92,12 +92,12 @@
     // The router closed the connection first; the request is resent elsewhere under a new id.
     co_return false;
   }
-  record_.note("sent", {{"id", id},
-                        {"kind", kind},
-                        {"budget_ms", budget_ms},
-                        {"router", router.name},
-                        {"first", first_on_connection},
-                        {"began", started_at}});
+  record_.record("sent", {{"id", id},
+                          {"kind", kind},
+                          {"budget_ms", budget_ms},
+                          {"router", router.name},
+                          {"first", first_on_connection},
+                          {"began", started_at}});
   Departure departure = draw_departure();
   const auto reusable =
       co_await wait_for_answer_or_leave(id, departure, read_answer(reader, id, first_on_connection));
@@ -105,9 +105,9 @@
   if (departure.leaves) {
     socket.close();
     loop_.update_now();
-    record_.note("left", {{"id", id}, {"cue", std::string(1, static_cast<char>(departure.cue))}});
+    record_.record("left", {{"id", id}, {"cue", std::string(1, static_cast<char>(departure.cue))}});
   } else {
-    record_.note("no_answer", {{"id", id}, {"how", "nothing came"}});
+    record_.record("no_answer", {{"id", id}, {"how", "nothing came"}});
   }
   co_return false;
 }
@@ -177,11 +177,11 @@
     // On a reused connection the router's close may have crossed the request. The router has not read it
     // then.
     const bool may_have_crossed = !first_on_connection && error == http::MessageError::closed;
-    record_.note(may_have_crossed ? "crossed" : "no_answer", {{"id", id}, {"how", http::to_string(error)}});
+    record_.record(may_have_crossed ? "crossed" : "no_answer", {{"id", id}, {"how", http::to_string(error)}});
     co_return false;
   }
   const int status = head.status;
-  if (status == 200) record_.note("answer", {{"id", id}, {"status", status}});
+  if (status == 200) record_.record("answer", {{"id", id}, {"status", status}});
   http::SseParser events;
   int index = 0;
   while (reader.has_more()) {
@@ -189,12 +189,12 @@
     error = co_await reader.read_body_pieces(pieces);
     for (const std::string_view piece : pieces) {
       events.feed(piece);
-      while (events.next()) record_.note("event_read", {{"id", id}, {"index", index++}});
+      while (events.next()) record_.record("event_read", {{"id", id}, {"index", index++}});
     }
     if (error != http::MessageError::none) break;
   }
-  if (status != 200) record_.note("answer", {{"id", id}, {"status", status}});
-  if (status == 200 && error != http::MessageError::none) record_.note("stream_cut", {{"id", id}});
+  if (status != 200) record_.record("answer", {{"id", id}, {"status", status}});
+  if (status == 200 && error != http::MessageError::none) record_.record("stream_cut", {{"id", id}});
   co_return error == http::MessageError::none&& head.keep_alive;
 }
 
@@ -208,7 +208,7 @@
   http::MessageReader reader(socket, http::MessageKind::response);
   http::Head head;
   const auto error = co_await io::with_deadline(loop_, started_at + 3500 * kMs, reader.read_head(head));
-  if (!error) record_.note("unanswered_disturber", {{"router", router.name}});
+  if (!error) record_.record("unanswered_disturber", {{"router", router.name}});
 }
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -136,12 +136,12 @@
         cues_(loop_, [this](Cue cue, const std::string& id) { clients_.on_cue(cue, id); }),
         scope_(loop_) {
     reachable_worker_ = static_cast<std::size_t>(random_int(0, options_.workers - 1));
-    record_.note("settings", {{"pin_limit_ms", drawn_settings_.pin_limit_ms},
-                              {"window_ms", drawn_settings_.window_ms},
-                              {"parallel_tries", drawn_settings_.parallel_tries},
-                              {"cancelling", drawn_settings_.cancelling},
-                              {"longest_deadline_ms", drawn_settings_.longest_deadline_ms},
-                              {"crowd", drawn_settings_.crowd}});
+    record_.record("settings", {{"pin_limit_ms", drawn_settings_.pin_limit_ms},
+                                {"window_ms", drawn_settings_.window_ms},
+                                {"parallel_tries", drawn_settings_.parallel_tries},
+                                {"cancelling", drawn_settings_.cancelling},
+                                {"longest_deadline_ms", drawn_settings_.longest_deadline_ms},
+                                {"crowd", drawn_settings_.crowd}});
   }
 
   SoakResult run() {
@@ -150,14 +150,14 @@
     scope_.spawn(run_phases(finished));
     loop_.run_until([&] { return finished; });
     scope_.cancel();
-    for (Router& router : routers_) result_.faults_injected += router.plan->injected();
+    for (Router& router : routers_) result_.injected_call_faults += router.plan->injected();
     for (Worker& worker : workers_) {
       worker.process.kill();
       worker.proxy.kill();
     }
     for (Router& router : routers_) router.process.kill();
-    result_.judgement = check(read_records(), {.held_for = drawn_settings_.pin_limit_ms * kMs,
-                                               .window = drawn_settings_.window_ms * kMs});
+    result_.check_result = check(read_records(), {.held_for = drawn_settings_.pin_limit_ms * kMs,
+                                                  .window = drawn_settings_.window_ms * kMs});
     count_router_violations();
     return std::move(result_);
   }
@@ -274,7 +274,7 @@
     }
   }
 
-  void record_breach(const std::string& what) { record_.note("breach", {{"what", what}}); }
+  void record_breach(const std::string& what) { record_.record("breach", {{"what", what}}); }
 
   std::optional<RouterEndpoint> pick_open_router() {
     std::vector<const Router*> open;
@@ -296,11 +296,11 @@
     faults.spawn(interrupt_receives());  // so that every run has a failing call
     while (loop_.now() < until) {
       co_await loop_.sleep_for(random_duration(100, 700));
-      ++result_.troubles;
+      ++result_.faults_started;
       faults.spawn(start_random_fault());
     }
     while (!faults.empty()) co_await loop_.sleep_for(20 * kMs);
-    if (!idle_crowds_.empty()) record_.note("crowd_gone", Recorder::Line::object());
+    if (!idle_crowds_.empty()) record_.record("crowd_gone", Recorder::Line::object());
     idle_crowds_.clear();
     clients_.stop();
     while (clients_.running() > 0) co_await loop_.sleep_for(20 * kMs);
@@ -310,7 +310,7 @@
   }
 
   void connect_idle_clients() {
-    record_.note("crowd_came", Recorder::Line::object());
+    record_.record("crowd_came", Recorder::Line::object());
     for (const Router& router : routers_) {
       const auto address = [&router] { return router.open ? std::optional(router.address) : std::nullopt; };
       idle_crowds_.push_back(std::make_unique<IdleCrowd>(loop_, random_(), kIdleClients, address));
@@ -335,11 +335,11 @@
         const auto descriptors = static_cast<std::size_t>(std::distance(begin(fd_folder), end(fd_folder)));
         if (descriptors > kMaxDescriptors)
           record_breach(fmt::format("{} has {} descriptors open", router.name, descriptors));
-        result_.most_descriptors = std::max(result_.most_descriptors, descriptors);
+        result_.max_descriptors = std::max(result_.max_descriptors, descriptors);
         std::ifstream memory_file(fmt::format("/proc/{}/statm", router.process.pid()));
         std::size_t total_pages = 0, resident_pages = 0;
         if (memory_file >> total_pages >> resident_pages)
-          result_.most_memory_kb = std::max(result_.most_memory_kb, resident_pages * 4);
+          result_.max_memory_kb = std::max(result_.max_memory_kb, resident_pages * 4);
       }
     }
   }
@@ -426,9 +426,9 @@
         kChoices[static_cast<std::size_t>(random_int(0, static_cast<int>(std::size(kChoices)) - 1))];
     CallFault& fault = (*any_router().plan)->of(choice.call);
     const auto one_in = static_cast<std::uint32_t>(random_int(1, 4));
-    record_.note(
+    record_.record(
         "trouble",
-        {{"what", "call"}, {"call", word(choice.call)}, {"errno", choice.error}, {"one_in", one_in}});
+        {{"what", "call"}, {"call", to_string(choice.call)}, {"errno", choice.error}, {"one_in", one_in}});
     fault.one_in = one_in;
     fault.error = choice.error;
     co_await loop_.sleep_for(one_in == 1 ? random_duration(50, 250) : random_duration(200, 2000));
@@ -446,16 +446,16 @@
   io::Task<> shorten_transfers() {
     const FaultyCall call = random_int(0, 1) == 0 ? FaultyCall::receive : FaultyCall::send;
     CallFault& fault = (*any_router().plan)->of(call);
-    record_.note("trouble", {{"what", "short transfers"}, {"call", word(call)}});
-    fault.most_bytes = static_cast<std::uint32_t>(random_int(20, 2000));
+    record_.record("trouble", {{"what", "short transfers"}, {"call", to_string(call)}});
+    fault.max_bytes = static_cast<std::uint32_t>(random_int(20, 2000));
     co_await loop_.sleep_for(random_duration(200, 2000));
-    fault.most_bytes = 0;
+    fault.max_bytes = 0;
   }
 
   io::Task<> step_clock() {
     static constexpr io::Nanos kSteps[] = {3600 * kSecond, -3600 * kSecond, 3 * kSecond, -3 * kSecond, 0};
     const io::Nanos step = kSteps[random_int(0, 4)];
-    record_.note("trouble", {{"what", "wall clock"}, {"by_s", step / kSecond}});
+    record_.record("trouble", {{"what", "wall clock"}, {"by_s", step / kSecond}});
     (*any_router().plan)->wall_clock_offset = step;
     co_return;
   }
@@ -465,8 +465,8 @@
     if (router.busy || !router.process.running()) co_return;
     const io::Nanos suspended_for = random_duration(20, 140);
     ::kill(router.process.pid(), SIGSTOP);
-    record_.note("trouble",
-                 {{"what", "router held up"}, {"router", router.name}, {"ms", suspended_for / kMs}});
+    record_.record("trouble",
+                   {{"what", "router held up"}, {"router", router.name}, {"ms", suspended_for / kMs}});
     const int pid = router.process.pid();
     co_await loop_.sleep_for(suspended_for);
     ::kill(pid, SIGCONT);
@@ -480,7 +480,7 @@
     router.agent = (router.agent + 1) % kDiscoveryAgents;
     const std::string text = config_text(router);
     const bool in_halves = random_int(0, 1) == 0;
-    record_.note("trouble", {{"what", "reload"}, {"router", router.name}, {"in_halves", in_halves}});
+    record_.record("trouble", {{"what", "reload"}, {"router", router.name}, {"in_halves", in_halves}});
     write_file(router.config, std::string_view(text).substr(0, in_halves ? text.size() / 2 : text.size()));
     if (router.process.running()) ::kill(router.process.pid(), SIGHUP);
     co_await loop_.sleep_for(random_duration(50, 600));
@@ -492,7 +492,7 @@
     if (router.busy || !router.open) co_return;
     router.busy = true;
     const bool is_graceful = random_int(0, 3) > 0;
-    record_.note("trouble", {{"what", is_graceful ? "restart" : "crash"}, {"router", router.name}});
+    record_.record("trouble", {{"what", is_graceful ? "restart" : "crash"}, {"router", router.name}});
     co_await end_router(router, is_graceful);
     co_await start_router(router);
     router.busy = false;
@@ -500,7 +500,7 @@
 
   io::Task<> end_router(Router& router, bool is_graceful) {
     if (!is_graceful) {
-      record_.note("killed", {{"process", router.name}});
+      record_.record("killed", {{"process", router.name}});
       router.process.kill();
       router.open = false;
       co_return;
@@ -511,7 +511,7 @@
       ::kill(router.process.pid(), SIGHUP);
     }
     router.process.terminate();
-    record_.note("terminated", {{"router", router.name}});
+    record_.record("terminated", {{"router", router.name}});
     if (sends_signal_series) {
       ::kill(router.process.pid(), SIGUSR1);
       router.process.terminate();
@@ -525,7 +525,7 @@
     while (router.process.running() && loop_.now() - started_at < kill_after)
       co_await loop_.sleep_for(10 * kMs);
     if (router.process.running()) {
-      record_.note("late_exit", {{"router", router.name}});
+      record_.record("late_exit", {{"router", router.name}});
       router.process.kill();
     } else if (router.process.status() != 0) {
       record_breach(fmt::format("{} ended with {}", router.name, router.process.status()));
@@ -534,12 +534,12 @@
 
   io::Task<> silence_discovery() {
     if (std::exchange(discovery_is_silent_, true)) co_return;
-    record_.note("trouble", {{"what", "discovery silent"}});
-    record_.note("discovery_silent", Recorder::Line::object());
+    record_.record("trouble", {{"what", "discovery silent"}});
+    record_.record("discovery_silent", Recorder::Line::object());
     discovery_.silence(true);
     co_await loop_.sleep_for(random_duration(500, 6000));
     discovery_.silence(false);
-    record_.note("discovery_up", Recorder::Line::object());
+    record_.record("discovery_up", Recorder::Line::object());
     discovery_is_silent_ = false;
   }
 
@@ -547,7 +547,7 @@
     Worker& worker = any_worker();
     if (std::exchange(worker.busy, true)) co_return;
     const io::Nanos stopped_for = random_duration(200, 3000);
-    record_.note("stopped", {{"process", worker_id(worker)}, {"for", stopped_for}});
+    record_.record("stopped", {{"process", worker_id(worker)}, {"for", stopped_for}});
     ::kill(worker.process.pid(), SIGSTOP);
     co_await loop_.sleep_for(stopped_for);
     ::kill(worker.process.pid(), SIGCONT);
@@ -568,12 +568,12 @@
       if (extent == 2 && random_int(0, 3) == 0) continue;
       chosen.push_back(i);
     }
-    record_.note("trouble", {{"what", "silent links"}, {"workers", chosen.size()}, {"for_good", for_good}});
+    record_.record("trouble", {{"what", "silent links"}, {"workers", chosen.size()}, {"for_good", for_good}});
     for (const std::size_t i : chosen) {
       Worker& worker = workers_[i];
       if (!for_good) {
         worker.links_silent = true;
-        record_.note("links_cut", {{"worker", worker.name}});
+        record_.record("links_cut", {{"worker", worker.name}});
       }
       ::kill(worker.proxy.pid(), for_good ? SIGUSR1 : SIGUSR2);
     }
@@ -582,7 +582,7 @@
     for (const std::size_t i : chosen) {
       ::kill(workers_[i].proxy.pid(), SIGHUP);
       workers_[i].links_silent = false;
-      record_.note("links_pass", {{"worker", workers_[i].name}});
+      record_.record("links_pass", {{"worker", workers_[i].name}});
     }
   }
 
@@ -590,7 +590,7 @@
   io::Task<> replace_worker() {
     Worker& worker = any_worker();
     if (std::exchange(worker.busy, true)) co_return;
-    record_.note("killed", {{"process", worker_id(worker)}});
+    record_.record("killed", {{"process", worker_id(worker)}});
     worker.process.kill();
     co_await loop_.sleep_for(random_duration(100, 1500));
     put_in_discovery(worker, "removed", 0);
@@ -605,7 +605,7 @@
     Worker& worker = any_worker();
     if (std::exchange(worker.busy, true)) co_return;
     put_in_discovery(worker, "draining", 0);
-    record_.note("draining", {{"worker", worker_id(worker)}});
+    record_.record("draining", {{"worker", worker_id(worker)}});
     co_await loop_.sleep_for(random_duration(7000, 9000));
     put_in_discovery(worker, "removed", 0);
     worker.process.kill();
@@ -637,7 +637,7 @@
       for (std::string line; std::getline(log, line);) {
         if (line.find("\"event\":\"invariant violated\"") == std::string::npos) continue;
         ++result_.router_violations;
-        result_.judgement.breaches.push_back(router.name + " logged an invariant violation: " + line);
+        result_.check_result.breaches.push_back(router.name + " logged an invariant violation: " + line);
       }
     }
   }
--- a/rig/soak/worker.cpp
+++ b/rig/soak/worker.cpp
@@ -19,12 +19,12 @@
 void SoakWorker::record_event(const char* event, const std::string& id, Recorder::Line fields) {
   Recorder::Line line{{"worker", options_.name}, {"id", id}};
   line.update(fields);
-  record_.note(event, std::move(line));
+  record_.record(event, std::move(line));
 }
 
 void SoakWorker::send_cue(Moment moment, const std::string& id) {
   const bool before = moment == Moment::before;
-  if (options_.reads)
+  if (options_.is_prefill)
     cues_.send(before ? Cue::before_prefill_answer : Cue::after_prefill_answer, id);
   else
     cues_.send(before ? Cue::before_decode_answer : Cue::after_decode_answer, id);
@@ -41,7 +41,7 @@
   const std::string budget(request.head.field("x-budget-ms").value_or("0"));
   const std::uint64_t number = ++attempts_;
   Recorder::Line fields{{"number", number},
-                        {"reads", options_.reads},
+                        {"reads", options_.is_prefill},
                         {"budget_ms", std::stoll(budget)},
                         {"came", request.received_at}};
   record_event("post", id, std::move(fields));
@@ -62,7 +62,7 @@
                                       http::ResponseWriter& answer) {
   const bool failed = co_await maybe_fail(id, number, answer);
   if (failed) co_return;
-  if (options_.reads)
+  if (options_.is_prefill)
     co_await prefill(id, answer);
   else
     co_await decode(id, answer);
--- a/rig/soak/worker.h
+++ b/rig/soak/worker.h
@@ -13,7 +13,7 @@
 
 struct WorkerOptions {
   std::string name;
-  bool reads{};  // serves prefill attempts, else decode attempts
+  bool is_prefill{};  // serves prefill attempts, else decode attempts
   io::Address address;
   std::uint64_t seed{};
   io::Address cues;            // where it sends cues about its answers; port 0: nowhere
--- a/rig/verdict.cpp
+++ b/rig/verdict.cpp
@@ -18,7 +18,7 @@
 
 class RuleChecker {
  public:
-  RuleChecker(const std::vector<Line>& lines, const RuleBook& book) : lines_(lines), book_(book) {
+  RuleChecker(const std::vector<Line>& lines, const RuleSettings& book) : lines_(lines), book_(book) {
     verdict_.rules = {{1, "every request gets one final answer in time", 0, 0, ""},
                       {2, "no effect happens twice", 0, 0, ""},
                       {3, "no request is sent to a draining worker", 0, 0, ""},
@@ -39,10 +39,10 @@
   }
 
  private:
-  void count_checked(int rule) { ++verdict_.rules[static_cast<std::size_t>(rule - 1)].looked_at; }
+  void count_checked(int rule) { ++verdict_.rules[static_cast<std::size_t>(rule - 1)].checked; }
   void add_violation(int rule, const std::string& what) {
-    Finding& finding = verdict_.rules[static_cast<std::size_t>(rule - 1)];
-    if (finding.offences++ == 0) finding.first = what;
+    RuleResult& finding = verdict_.rules[static_cast<std::size_t>(rule - 1)];
+    if (finding.violations++ == 0) finding.first_violation = what;
   }
   bool killed_between(const std::string& router, Nanos from, Nanos to) const {
     const auto it = router_kills_.find(router);
@@ -106,7 +106,7 @@
     for (const auto& [request, list] : ran) {
       const auto rules = book_.types.find(type_of[request]);
       if (rules == book_.types.end()) continue;
-      const RuleBook::Type& type = rules->second;
+      const RuleSettings::Type& type = rules->second;
       if (type.effect == Effect::once_only && list.size() > 1)
         add_violation(2, "a once-only request ran again: " + list[1].id);
       if (type.effect != Effect::tokened) continue;
@@ -123,7 +123,7 @@
       if (text(l, "e") != "final" || text(l, "how") != "rejected") continue;
       const auto rules = book_.types.find(text(l, "type"));
       if (rules == book_.types.end()) continue;
-      const RuleBook::Type& type = rules->second;
+      const RuleSettings::Type& type = rules->second;
       const bool harmless =
           type.effect == Effect::repeatable || (type.effect == Effect::tokened && type.group == Group::all);
       if (!harmless && tries_that_ran[text(l, "sequence")].contains(text(l, "id")))
@@ -256,7 +256,7 @@
     for (const auto& [id, history] : requests) {
       TypeTotals& totals = verdict_.types[history.type];
       const auto rules = book_.types.find(history.type);
-      const RuleBook::Type type = rules == book_.types.end() ? RuleBook::Type{} : rules->second;
+      const RuleSettings::Type type = rules == book_.types.end() ? RuleSettings::Type{} : rules->second;
       ++totals.requests;
       ++totals.outcomes[history.outcome.empty() ? "unended" : history.outcome];
       totals.possible_utility += type.utility;
@@ -271,7 +271,7 @@
   }
 
   const std::vector<Line>& lines_;
-  const RuleBook& book_;
+  const RuleSettings& book_;
   std::map<std::string, std::vector<Nanos>> router_kills_;
   Verdict verdict_;
 };
@@ -284,8 +284,8 @@
 
 }  // namespace
 
-bool Verdict::kept() const {
-  return std::ranges::all_of(rules, [](const Finding& finding) { return finding.offences == 0; });
+bool Verdict::passed() const {
+  return std::ranges::all_of(rules, [](const RuleResult& finding) { return finding.violations == 0; });
 }
 
 double Verdict::utility() const {
@@ -299,10 +299,10 @@
 
 std::string Verdict::text() const {
   std::string out;
-  for (const Finding& finding : rules) {
+  for (const RuleResult& finding : rules) {
     out += fmt::format("rule {}: {:<46} {:>6} checked, {:>4} violations  {}\n", finding.rule, finding.name,
-                       finding.looked_at, finding.offences, finding.offences == 0 ? "kept" : "BROKEN");
-    if (finding.offences > 0) out += "        first: " + finding.first + "\n";
+                       finding.checked, finding.violations, finding.violations == 0 ? "kept" : "BROKEN");
+    if (finding.violations > 0) out += "        first: " + finding.first_violation + "\n";
   }
   static constexpr const char* kOutcomes[] = {"generated", "rejected", "aborted", "broken",
                                               "refused",   "left",     "cut",     "unreached"};
@@ -322,7 +322,7 @@
   return out;
 }
 
-Verdict judge(std::vector<Line> lines, const RuleBook& book) {
+Verdict check_rules(std::vector<Line> lines, const RuleSettings& book) {
   std::ranges::stable_sort(lines, {}, [](const Line& l) { return at(l); });
   return RuleChecker(lines, book).check();
 }
--- a/rig/verdict.h
+++ b/rig/verdict.h
@@ -12,7 +12,7 @@
 namespace cressrill::rig {
 
 // The limits that the rules are checked with.
-struct RuleBook {
+struct RuleSettings {
   Nanos answer_slack = 8'000'000;  // how late a client may see an answer that was sent in time
   Nanos drain_grace{};          // how long requests may still arrive after a router was notified of a drain
   Nanos pin_limit{};            // how long KV cache may be held while no decode attempt uses it
@@ -28,12 +28,12 @@
 };
 
 // The result of one rule.
-struct Finding {
+struct RuleResult {
   int rule{};
   std::string name;
-  std::size_t looked_at{};  // events that the rule applied to
-  std::size_t offences{};
-  std::string first;  // the first violation in full
+  std::size_t checked{};  // events that the rule applied to
+  std::size_t violations{};
+  std::string first_violation;  // the first violation in full
 };
 
 // Totals of one traffic type.
@@ -47,14 +47,14 @@
 };
 
 struct Verdict {
-  std::vector<Finding> rules;
+  std::vector<RuleResult> rules;
   std::map<std::string, TypeTotals> types;
-  bool kept() const;
+  bool passed() const;
   double utility() const;  // earned share of the possible utility of all types
   std::string text() const;
 };
 
 // Takes the records in any order: they are sorted by their timestamps.
-Verdict judge(std::vector<Recorder::Line> lines, const RuleBook& book);
+Verdict check_rules(std::vector<Recorder::Line> lines, const RuleSettings& book);
 
 }  // namespace cressrill::rig
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -368,7 +368,7 @@
   const auto told = [&](int ms, const char* state) {
     return at(ms, "told", {{"router", "r"}, {"complete", false}, {"workers", {{"w", state}}}});
   };
-  rig::RuleBook book;
+  rig::RuleSettings book;
   book.drain_grace = 500 * io::kMs;
   book.pin_limit = 1000 * io::kMs;
   book.types["plain"] = {};
@@ -414,8 +414,8 @@
   for (const auto& [rule, more] : planted) {
     Lines lines = clean;
     lines.insert(lines.end(), more.begin(), more.end());
-    const rig::Verdict v = rig::judge(lines, book);
-    for (const rig::Finding& f : v.rules) CHECK_MESSAGE((f.offences > 0) == (f.rule == rule), v.text());
+    const rig::Verdict v = rig::check_rules(lines, book);
+    for (const rig::RuleResult& f : v.rules) CHECK_MESSAGE((f.violations > 0) == (f.rule == rule), v.text());
   }
 }
 
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -23,7 +23,7 @@
 namespace cressrill::testing {
 
 using rig::Engine;
-using rig::EngineMake;
+using rig::EngineConfig;
 
 // Compares a trace with the expected one in tests/traces/; CRESSRILL_TRACES=write overwrites the expected one
 // first.
@@ -99,13 +99,13 @@
   // `adjust` is called with the options of each engine before it is created.
   explicit EngineFixture(int prefills = 2, int decodes = 2,
                          const router::PolicyFactory& policy_factory = make_policy,
-                         const std::function<void(EngineMake&)>& adjust = {})
+                         const std::function<void(EngineConfig&)>& adjust = {})
       : recorder(loop),
         discovery(loop, kAnyPort, recorder),
         config(test_config(discovery.address().to_string())),
         log("r", "off") {
     for (int i = 0; i < prefills + decodes; ++i) {
-      EngineMake make;
+      EngineConfig make;
       make.name = i < prefills ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - prefills);
       make.kind = i < prefills ? "prefill" : "decode";
       make.role = i < prefills ? Role::prefill : Role::decode;
@@ -118,11 +118,11 @@
       if (adjust) adjust(make);
       engines.push_back(std::make_unique<Engine>(loop, make, recorder));
       Engine* engine = engines.back().get();
-      discovery.change(rig::listed(*engine, WorkerStatus::ready));
+      discovery.publish_change(rig::listed(*engine, WorkerStatus::ready));
       engine->on_change([this, engine](bool up) {
         core::ListedWorker listed = rig::listed(*engine, up ? WorkerStatus::ready : WorkerStatus::gone);
         if (engine->started() > 0) listed.started_at = engine->started() + loop.wall_clock_offset();
-        discovery.change(listed);
+        discovery.publish_change(listed);
       });
     }
     run_pending();
@@ -144,7 +144,7 @@
 
   Engine& engine(const std::string& name) {
     for (auto& e : engines)
-      if (e->make().name == name) return *e;
+      if (e->config().name == name) return *e;
     throw std::invalid_argument(name);
   }
   void run_for(std::int64_t ms) { testing::run_for(loop, ms); }
@@ -161,18 +161,18 @@
 
   // A client request with that name as its id, session and token; `out` is the number of tokens that it
   // generates.
-  rig::Question request(const std::string& name, int out = 4, const std::string& model = "m",
-                        bool stream = true, int words = 200) {
-    rig::Question question;
+  rig::ClientRequest request(const std::string& name, int out = 4, const std::string& model = "m",
+                             bool stream = true, int words = 200) {
+    rig::ClientRequest question;
     question.sequence = name;
     question.id = name + ".0";
     question.router = "r";
-    question.at = router->address();
+    question.address = router->address();
     question.stream = stream;
     question.type = model == "m" ? "plain" : model;
     if (model == "once") question.type = "once";
-    if (model == "tokened") question.mark = "mark-" + name;
-    question.abandon = 5'000 * io::kMs;
+    if (model == "tokened") question.idempotency_key = "mark-" + name;
+    question.time_limit = 5'000 * io::kMs;
     question.slo = 1'500 * io::kMs;
     std::string text;
     for (int i = 0; i < words; ++i) text += "word ";
@@ -186,22 +186,22 @@
     return question;
   }
   // Sends a request and returns at once; its response is put into responses[sequence].
-  void send(rig::Question question) {
-    scope.spawn([](EngineFixture& fixture, rig::Question sent) -> io::Task<> {
+  void send(rig::ClientRequest question) {
+    scope.spawn([](EngineFixture& fixture, rig::ClientRequest sent) -> io::Task<> {
       const std::string name = sent.sequence;
-      fixture.responses[name] = co_await rig::ask(fixture.loop, fixture.recorder, std::move(sent));
+      fixture.responses[name] = co_await rig::send_request(fixture.loop, fixture.recorder, std::move(sent));
     }(*this, std::move(question)));
   }
   // Runs until that request has been answered.
-  const rig::Heard& response(const std::string& name) {
+  const rig::ClientResult& response(const std::string& name) {
     const bool received = loop.run_until([&] { return responses.contains(name); });
     CHECK_MESSAGE(received, "no response for " << name);
     return responses[name];
   }
-  rig::Verdict verdict() const { return rig::judge(recorder.lines(), rule_book); }
+  rig::Verdict verdict() const { return rig::check_rules(recorder.lines(), rule_book); }
   void check_rules_hold() const {
     const rig::Verdict result = verdict();
-    CHECK_MESSAGE(result.kept(), result.text());
+    CHECK_MESSAGE(result.passed(), result.text());
   }
   int count_events(const std::string& event, const std::string& engine = "") const {
     return static_cast<int>(std::ranges::count_if(recorder.lines(), [&](const auto& line) {
@@ -228,13 +228,13 @@
 
   io::Loop loop{io::Loop::Clock::simulated};
   rig::Recorder recorder;
-  rig::Roster discovery;
+  rig::DiscoveryStandIn discovery;
   core::RouterConfig config;
   core::Log log;
   std::vector<std::unique_ptr<Engine>> engines;
   std::unique_ptr<router::Instance> router;
-  rig::RuleBook rule_book;
-  std::map<std::string, rig::Heard> responses;
+  rig::RuleSettings rule_book;
+  std::map<std::string, rig::ClientResult> responses;
   io::Nanos started_at{};
   io::Scope scope{loop};
 };
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -20,7 +20,7 @@
   FailingCalls(FaultyCall call, int error, std::uint32_t at_most = 0, std::uint32_t one_in = 1)
       : fault_(cressrill_fault_plan()->of(call)) {
     fault_.one_in = one_in;
-    fault_.at_most = at_most;
+    fault_.max_injected = at_most;
     fault_.calls = 0;
     fault_.injected = 0;
     fault_.error = error;
@@ -39,9 +39,9 @@
  public:
   ShortTransfers(FaultyCall call, std::uint32_t max_bytes) : fault_(cressrill_fault_plan()->of(call)) {
     fault_.injected = 0;
-    fault_.most_bytes = max_bytes;
+    fault_.max_bytes = max_bytes;
   }
-  ~ShortTransfers() { fault_.most_bytes = 0; }
+  ~ShortTransfers() { fault_.max_bytes = 0; }
   ShortTransfers(const ShortTransfers&) = delete;
   ShortTransfers& operator=(const ShortTransfers&) = delete;
   std::uint64_t injected() const { return fault_.injected; }
@@ -106,7 +106,7 @@
       {FaultyCall::socket, ENOMEM},       {FaultyCall::socket, EMFILE},
       {FaultyCall::socket, ENFILE},       {FaultyCall::get_option, ENOBUFS}};
   for (const auto& [call, error] : faults) {
-    CAPTURE(std::string(word(call)));
+    CAPTURE(std::string(to_string(call)));
     CAPTURE(error);
     PlatformFixture fixture(1, 1);
     RawClient client(fixture.node->address());
@@ -146,7 +146,7 @@
 TEST_CASE("reads and writes of a few bytes at a time transfer every request and stream completely") {
   for (const FaultyCall call : {FaultyCall::receive, FaultyCall::send})
     for (const std::uint32_t max_bytes : {1u, 7u, 100u}) {
-      CAPTURE(std::string(word(call)));
+      CAPTURE(std::string(to_string(call)));
       CAPTURE(max_bytes);
       PlatformFixture fixture(1, 1);
       RawClient client(fixture.node->address());
@@ -167,7 +167,7 @@
                                                {FaultyCall::send, EINTR},    {FaultyCall::send, ENOBUFS},
                                                {FaultyCall::send, ENOMEM},   {FaultyCall::epoll_wait, EINTR}};
   for (const auto& [call, error] : faults) {
-    CAPTURE(std::string(word(call)));
+    CAPTURE(std::string(to_string(call)));
     CAPTURE(error);
     PlatformFixture fixture(1, 1);
     RawClient client(fixture.node->address());
--- a/tests/hold_model_test.cpp
+++ b/tests/hold_model_test.cpp
@@ -35,7 +35,7 @@
 
 TEST_CASE(
     "hold rule: held time counts only while no attempt is at a worker, until KV cache is taken or released") {
-  using What = HoldMark::What;
+  using What = KvAction::Kind;
   const std::vector<AttemptSpan> attempts{{0, 10, 0, true}, {50, 90, 2, false}};
   SUBCASE("it is never taken") {
     const auto spans = held_spans(attempts, {{What::held, 10, 0}}, 500);
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -61,7 +61,7 @@
 // Lists a worker with that address in discovery.
 void list(EngineFixture& fixture, const std::string& name, const std::string& address, const char* kind,
           WorkerStatus status = WorkerStatus::ready) {
-  fixture.discovery.change({name, address, status, 0, kind, "east", "e1"});
+  fixture.discovery.publish_change({name, address, status, 0, kind, "east", "e1"});
   fixture.run_for(5);
 }
 
@@ -76,7 +76,7 @@
 TEST_CASE("ordinary request: prefill, KV transfer, decode and stream") {
   EngineFixture fixture;
   fixture.send(fixture.request("a"));
-  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("a").outcome == "generated");
   CHECK(fixture.response("a").tokens == 4);
   fixture.run_for(100);
   fixture.check_rules_hold();
@@ -86,7 +86,7 @@
 TEST_CASE("a non-streaming response is assembled from the engine's stream") {
   EngineFixture fixture;
   fixture.send(fixture.request("a", 12, "m", false));
-  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("a").outcome == "generated");
   CHECK(fixture.response("a").tokens == 12);
   fixture.check_rules_hold();
 }
@@ -95,7 +95,7 @@
   EngineFixture fixture;
   fixture.send(fixture.request("a", 4, "m", true, 600));
   fixture.response("a");
-  rig::Question next_turn = fixture.request("a", 4, "m", true, 700);
+  rig::ClientRequest next_turn = fixture.request("a", 4, "m", true, 700);
   next_turn.sequence = "b";
   next_turn.id = "b.0";
   fixture.send(next_turn);
@@ -106,20 +106,20 @@
 TEST_CASE("an engine answers after its attempt was abandoned: one response, and the KV cache is released") {
   EngineFixture fixture(2, 1);
   for (auto& engine : fixture.engines)
-    if (engine->make().role == Role::prefill) engine->apply(fault("slow", 200, 4000));
+    if (engine->config().role == Role::prefill) engine->apply(fault("slow", 200, 4000));
   fixture.send(fixture.request("a", 4, "m", true, 300));
   fixture.response("a");
   fixture.run_for(10'000);
   fixture.check_rules_hold();
   CHECK(fixture.count_events("held") == fixture.count_events("taken") + fixture.count_events("freed"));
-  for (const auto& engine : fixture.engines) CHECK(engine->states() == 0);
+  for (const auto& engine : fixture.engines) CHECK(engine->kv_entries() == 0);
 }
 
 TEST_CASE("a stream that breaks after some tokens ends with one error event") {
   EngineFixture fixture(1, 1);
   fixture.engine("writer-0").apply(fault("cut", 1));
   fixture.send(fixture.request("a", 20));
-  CHECK(fixture.response("a").how == "broken");
+  CHECK(fixture.response("a").outcome == "broken");
   CHECK(fixture.response("a").tokens > 5);
   fixture.run_for(2000);
   fixture.check_rules_hold();
@@ -133,7 +133,7 @@
   fixture.run_for(100);
   fixture.engine("writer-0").apply(fault("vanish"));
   const io::Nanos stalled_at = fixture.loop.now();
-  CHECK(fixture.response("a").how == "broken");
+  CHECK(fixture.response("a").outcome == "broken");
   CHECK(fixture.loop.now() - stalled_at <= 30 * io::kSecond);
   CHECK(fixture.loop.now() - stalled_at > 29 * io::kSecond);
   CHECK(fixture.router->host().live_requests() == 0);
@@ -152,14 +152,14 @@
       ScriptedPeer peer(fixture, {truncated[i]}, finish);
       list(fixture, "odd", peer.address(), "decode");
       fixture.send(fixture.request("a"));
-      const std::string how = fixture.response("a").how;
+      const std::string how = fixture.response("a").outcome;
       // A reset may discard unread bytes: the stream has not started then.
       CHECK((how == "broken" || how == "rejected"));
       if (i == 0) CHECK(how == "rejected");
       if (i > 0 && finish == ScriptedPeer::Finish::close) CHECK(how == "broken");
       fixture.run_for(8000);
       // Rule 1 alone: the peer streams without fetching the KV cache, so the other rules cannot be checked.
-      CHECK(fixture.verdict().rules[0].offences == 0);
+      CHECK(fixture.verdict().rules[0].violations == 0);
     }
 }
 
@@ -169,23 +169,23 @@
   ScriptedPeer peer(fixture, {http::format_response(200, "", "not json", true)}, ScriptedPeer::Finish::hang);
   list(fixture, "odd", peer.address(), "prefill");
   fixture.send(fixture.request("a"));
-  CHECK(fixture.response("a").how == "rejected");
+  CHECK(fixture.response("a").outcome == "rejected");
   fixture.check_rules_hold();
 }
 
 TEST_CASE("a client leaves between prefill and decode: the KV cache is released in time") {
   EngineFixture fixture(1, 1);
   fixture.engine("writer-0").apply(fault("vanish", 0, 0));
-  rig::Question question = fixture.request("a");
+  rig::ClientRequest question = fixture.request("a");
   {
     io::Scope client(fixture.loop);
-    client.spawn([](EngineFixture& context, rig::Question sent) -> io::Task<> {
-      co_await rig::ask(context.loop, context.recorder, std::move(sent));
+    client.spawn([](EngineFixture& context, rig::ClientRequest sent) -> io::Task<> {
+      co_await rig::send_request(context.loop, context.recorder, std::move(sent));
     }(fixture, question));
     fixture.run_until_recorded("held");
     fixture.run_for(20);
   }  // closes the connection of the client
-  fixture.recorder.note(
+  fixture.recorder.record(
       "final", {{"id", "a.0"}, {"sequence", "a"}, {"router", "r"}, {"type", "plain"}, {"how", "left"}});
   fixture.run_for(900);
   CHECK(fixture.count_events("freed") == 1);
@@ -210,7 +210,7 @@
   fixture.run_until_recorded("held");
   fixture.run_for(50);
   list(fixture, "hung", full.address().to_string(), "decode", WorkerStatus::draining);
-  CHECK(fixture.response("a").how == "rejected");
+  CHECK(fixture.response("a").outcome == "rejected");
   fixture.run_for(1000);
   fixture.check_rules_hold();
 }
@@ -220,12 +220,12 @@
   fixture.send(fixture.request("a", 60));
   fixture.run_until_recorded("ran");
   for (const char* name : {"reader-0", "writer-0"})
-    fixture.discovery.change(rig::listed(fixture.engine(name), WorkerStatus::draining));
+    fixture.discovery.publish_change(rig::listed(fixture.engine(name), WorkerStatus::draining));
   fixture.run_for(600);
   const int attempts_before = fixture.count_events("in", "reader-0") + fixture.count_events("in", "writer-0");
   for (int i = 0; i < 6; ++i) fixture.send(fixture.request("b" + std::to_string(i)));
-  for (int i = 0; i < 6; ++i) CHECK(fixture.response("b" + std::to_string(i)).how == "generated");
-  CHECK(fixture.response("a").how == "generated");
+  for (int i = 0; i < 6; ++i) CHECK(fixture.response("b" + std::to_string(i)).outcome == "generated");
+  CHECK(fixture.response("a").outcome == "generated");
   CHECK(fixture.count_events("in", "reader-0") + fixture.count_events("in", "writer-0") == attempts_before);
   fixture.check_rules_hold();
 }
@@ -240,9 +240,9 @@
     ScriptedPeer peer(fixture, {stream + std::string(http::kLastChunk)}, ScriptedPeer::Finish::hang);
     list(fixture, "odd", peer.address(), "decode");
     fixture.send(fixture.request("a", 1, "once"));
-    CHECK(fixture.response("a").how == "generated");
+    CHECK(fixture.response("a").outcome == "generated");
     fixture.send(fixture.request("b", 1, "once"));  // the peer reads it and closes without an answer
-    CHECK(fixture.response("b").how == "aborted");
+    CHECK(fixture.response("b").outcome == "aborted");
     CHECK(peer.requests() == 2);
     fixture.run_for(2000);
     fixture.check_rules_hold();
@@ -255,7 +255,7 @@
     list(fixture, "odd", peer.address(), "decode");
     for (const char* name : {"a", "b", "c"}) {
       fixture.send(fixture.request(name, 1, "once"));
-      CHECK(fixture.response(name).how == "generated");
+      CHECK(fixture.response(name).outcome == "generated");
       fixture.run_for(20);
     }
     CHECK(peer.connections() == 3);
@@ -270,20 +270,20 @@
                       ScriptedPeer::Finish::hang);
     list(fixture, "full", peer.address(), "prefill");
     fixture.send(fixture.request("a", 4, "once"));
-    CHECK(fixture.response("a").how == "rejected");
+    CHECK(fixture.response("a").outcome == "rejected");
     CHECK(fixture.response("a").retry_after > 0);
     fixture.check_rules_hold();
   }
 }
 
 TEST_CASE("all engines are full: each request is generated or rejected, none is lost") {
-  EngineFixture fixture(2, 2, make_policy, [](EngineMake& make) {
+  EngineFixture fixture(2, 2, make_policy, [](EngineConfig& make) {
     make.slots = 1;
     make.queue = 0;
   });
   for (int i = 0; i < 30; ++i) fixture.send(fixture.request("s" + std::to_string(i), 100));
   std::map<std::string, int> how;
-  for (int i = 0; i < 30; ++i) ++how[fixture.response("s" + std::to_string(i)).how];
+  for (int i = 0; i < 30; ++i) ++how[fixture.response("s" + std::to_string(i)).outcome];
   CHECK(how["rejected"] + how["generated"] == 30);
   CHECK(how["rejected"] > 0);
   CHECK(how["generated"] > 0);
@@ -293,21 +293,21 @@
 
 TEST_CASE("discovery is gone for good: requests are served from the last worker list") {
   EngineFixture fixture;
-  fixture.discovery.go_away();
+  fixture.discovery.shut_down();
   fixture.run_for(5000);
   for (int i = 0; i < 4; ++i) fixture.send(fixture.request("s" + std::to_string(i)));
-  for (int i = 0; i < 4; ++i) CHECK(fixture.response("s" + std::to_string(i)).how == "generated");
+  for (int i = 0; i < 4; ++i) CHECK(fixture.response("s" + std::to_string(i)).outcome == "generated");
   fixture.check_rules_hold();
 }
 
 TEST_CASE("a prefill worker crashes before its KV cache is transferred: the prefill runs again elsewhere") {
-  EngineFixture fixture(2, 1, make_policy, [](EngineMake& make) { make.transfer_per_s = 300; });
+  EngineFixture fixture(2, 1, make_policy, [](EngineConfig& make) { make.transfer_per_s = 300; });
   fixture.send(fixture.request("a"));
   fixture.run_until_recorded("held");
   fixture.run_for(20);
   for (const char* name : {"reader-0", "reader-1"})
     if (fixture.count_events("held", name) > 0) fixture.engine(name).apply(fault("crash", 0, 3000));
-  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("a").outcome == "generated");
   fixture.run_for(5000);
   fixture.check_rules_hold();
 }
@@ -316,7 +316,7 @@
   EngineFixture fixture(2, 2);
   fixture.engine("writer-0").apply(fault("vanish", 0, 8000));
   for (int i = 0; i < 6; ++i) fixture.send(fixture.request("s" + std::to_string(i)));
-  for (int i = 0; i < 6; ++i) CHECK(fixture.response("s" + std::to_string(i)).how == "generated");
+  for (int i = 0; i < 6; ++i) CHECK(fixture.response("s" + std::to_string(i)).outcome == "generated");
   fixture.run_for(12'000);
   fixture.check_rules_hold();
 }
@@ -384,15 +384,15 @@
   fixture.run_until_recorded("ran");
   fixture.router->stop();
   fixture.send(fixture.request("b"));
-  CHECK(fixture.response("b").how == "unreached");
-  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("b").outcome == "unreached");
+  CHECK(fixture.response("a").outcome == "generated");
   fixture.run_for(50);
   CHECK(fixture.router->is_idle());
   fixture.check_rules_hold();
 }
 
 TEST_CASE("many requests under faults of all kinds: every rule holds") {
-  EngineFixture fixture(3, 4, make_policy, [](EngineMake& make) {
+  EngineFixture fixture(3, 4, make_policy, [](EngineConfig& make) {
     make.slots = 6;
     make.queue = 6;
   });
@@ -407,8 +407,8 @@
     fixture.engine(name).apply(engine_fault);
     for (int i = 0; i < 12; ++i, ++count) {
       static constexpr const char* kModels[] = {"m", "m", "tokened", "once"};
-      rig::Question question = fixture.request("s" + std::to_string(count), 15, kModels[count % 4],
-                                               count % 5 != 0, 100 + 50 * (count % 7));
+      rig::ClientRequest question = fixture.request("s" + std::to_string(count), 15, kModels[count % 4],
+                                                    count % 5 != 0, 100 + 50 * (count % 7));
       if (count % 9 == 0) question.leave_after_first = 30 * io::kMs;
       fixture.send(question);
       fixture.run_for(40);
@@ -417,7 +417,7 @@
   for (int i = 0; i < count; ++i) fixture.response("s" + std::to_string(i));
   fixture.run_for(10'000);
   fixture.check_rules_hold();
-  for (const auto& engine : fixture.engines) CHECK(engine->states() == 0);
+  for (const auto& engine : fixture.engines) CHECK(engine->kv_entries() == 0);
   CHECK(fixture.router->host().live_requests() == 0);
 }
 
@@ -486,8 +486,8 @@
 
 void check_only_broken(const EngineFixture& fixture, int broken_rule) {
   const rig::Verdict verdict = fixture.verdict();
-  for (const rig::Finding& finding : verdict.rules)
-    CHECK_MESSAGE((finding.offences > 0) == (finding.rule == broken_rule), verdict.text());
+  for (const rig::RuleResult& finding : verdict.rules)
+    CHECK_MESSAGE((finding.violations > 0) == (finding.rule == broken_rule), verdict.text());
 }
 
 TEST_CASE(
@@ -497,9 +497,9 @@
   std::set<std::string> engines;
   io::Nanos slowest = 0;
   for (int i = 0; i < 50; ++i) {
-    const rig::Heard& heard = fixture.response(fmt::format("s{}", i));
-    CHECK(heard.how == "generated");
-    slowest = std::max(slowest, heard.first);
+    const rig::ClientResult& heard = fixture.response(fmt::format("s{}", i));
+    CHECK(heard.outcome == "generated");
+    slowest = std::max(slowest, heard.time_to_first_token);
   }
   for (const auto& line : fixture.recorder.lines())
     if (line.value("e", "") == "in") engines.insert(line.value("engine", ""));
@@ -515,21 +515,21 @@
     io::Scope reading(fixture.loop);
     if (with_slow_client) {
       // 2000 tokens for a client that reads none of them.
-      const rig::Question question = fixture.request("slow", 2'000);
-      reading.spawn([](EngineFixture& context, rig::Question sent) -> io::Task<> {
+      const rig::ClientRequest question = fixture.request("slow", 2'000);
+      reading.spawn([](EngineFixture& context, rig::ClientRequest sent) -> io::Task<> {
         io::Socket socket;
-        co_await io::connect(context.loop, sent.at, socket);
+        co_await io::connect(context.loop, sent.address, socket);
         co_await socket.write_all(
-            http::format_request("POST", sent.path, sent.at.to_string(), "", sent.body));
+            http::format_request("POST", sent.path, sent.address.to_string(), "", sent.body));
         co_await context.loop.sleep_for(3'600 * io::kSecond);
       }(fixture, question));
     }
     fixture.run_for(200);
     for (int i = 0; i < 8; ++i) fixture.send(fixture.request(fmt::format("f{}", i), 30));
     for (int i = 0; i < 8; ++i) {
-      const rig::Heard& heard = fixture.response(fmt::format("f{}", i));
-      traces[with_slow_client] += fmt::format("f{} {} {} tokens, {} ms\n", i, heard.how, heard.tokens,
-                                              heard.took / (100 * io::kMs) * 100);
+      const rig::ClientResult& heard = fixture.response(fmt::format("f{}", i));
+      traces[with_slow_client] += fmt::format("f{} {} {} tokens, {} ms\n", i, heard.outcome, heard.tokens,
+                                              heard.elapsed / (100 * io::kMs) * 100);
     }
   }
   CHECK(traces[0] == traces[1]);
@@ -539,19 +539,19 @@
   EngineFixture fixture(1, 1, faulty_policy(1));
   for (auto& engine : fixture.engines) engine->apply(fault("fast_errors", 1, 20'000));
   fixture.send(fixture.request("a"));
-  CHECK(fixture.response("a").how == "silent");
+  CHECK(fixture.response("a").outcome == "silent");
   check_only_broken(fixture, 1);
 }
 
 TEST_CASE("the verdict detects a router that repeats once-only requests") {
   EngineFixture fixture(1, 2, faulty_policy(2));
   // The decode worker starts to run the request and crashes before its stream's first bytes arrive.
-  rig::Question question = fixture.request("a", 40, "once");
+  rig::ClientRequest question = fixture.request("a", 40, "once");
   fixture.send(question);
   fixture.run_until_recorded("ran");
   for (const char* name : {"writer-0", "writer-1"})
     if (fixture.count_events("ran", name) > 0) fixture.engine(name).apply(fault("crash", 0, 0));
-  CHECK(fixture.response("a").how != "generated");
+  CHECK(fixture.response("a").outcome != "generated");
   question.id = "a.1";
   fixture.responses.clear();
   fixture.send(question);  // the client retries, as it was told that the request had not run
@@ -561,15 +561,15 @@
 
 TEST_CASE("the verdict detects a router that ignores drains") {
   EngineFixture fixture(1, 1, faulty_policy(3));
-  fixture.discovery.change(rig::listed(fixture.engine("writer-0"), WorkerStatus::draining));
+  fixture.discovery.publish_change(rig::listed(fixture.engine("writer-0"), WorkerStatus::draining));
   fixture.run_for(700);
   fixture.send(fixture.request("a"));
-  CHECK(fixture.response("a").how == "generated");
+  CHECK(fixture.response("a").outcome == "generated");
   check_only_broken(fixture, 3);
 }
 
 TEST_CASE("the verdict detects a router that ignores cold starts") {
-  EngineFixture fixture(1, 2, faulty_policy(4), [](EngineMake& make) {
+  EngineFixture fixture(1, 2, faulty_policy(4), [](EngineConfig& make) {
     make.read_per_s = 4000;
     make.ramp_ms = 20'000;
     make.fall_multiple = 1.2;
@@ -589,7 +589,7 @@
   EngineFixture fixture(1, 1, faulty_policy(5));
   fixture.engine("writer-0").apply(fault("throttle", 1, 20'000));
   fixture.send(fixture.request("a"));
-  CHECK(fixture.response("a").how == "rejected");
+  CHECK(fixture.response("a").outcome == "rejected");
   fixture.run_for(8000);
   check_only_broken(fixture, 5);
 }
