--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -185,7 +185,7 @@
                         .dump();
     return question;
   }
-  // Sends a request and returns at once; its response is put into responses[sequence].
+  // Sends a request and returns at once; its response is put into responses[name].
   void send(rig::ClientRequest question) {
     scope.spawn([](EngineFixture& fixture, rig::ClientRequest sent) -> io::Task<> {
       const std::string name = sent.sequence;
