--- a/http/client.h
+++ b/http/client.h
@@ -11,8 +11,8 @@
 
 namespace cressrill::http {
 
-// Purpose of a connection. Some connections are reserved for releases, so that these never wait for ordinary
-// work.
+// Purpose of a connection. Some connections are reserved for releases (calls that free KV cache at a worker),
+// so that these never wait for ordinary work.
 enum class Priority { ordinary, release };
 
 struct Connection {
--- a/io/calls.h
+++ b/io/calls.h
@@ -1,5 +1,5 @@
-// Counts of the system calls that an event loop and its sockets make, by call. Counting costs one addition
-// per call.
+// Counts of the system calls that an event loop and its sockets make, by call, but for those that set up and
+// close the loop and those that read the clock. Counting costs one addition per call.
 #pragma once
 
 #include <array>
--- a/io/failure.cpp
+++ b/io/failure.cpp
@@ -24,7 +24,8 @@
     Row{EHOSTDOWN, ErrorClass::disconnected},
 };
 
-// A connect that fails at once lacks a local port, a route or a permission on this machine.
+// connect(2): a call that is interrupted or in progress continues by itself; one that fails at once lacks a
+// local port, a route or a permission on this machine.
 constexpr std::array kConnect{
     Row{EINTR, ErrorClass::would_block},
     Row{EINPROGRESS, ErrorClass::would_block},
@@ -38,8 +39,8 @@
     Row{EACCES, ErrorClass::resource_shortage},
 };
 
-// accept(2) on Linux reports pending network errors of the new connection: that connection is lost, the
-// listener works.
+// accept(2) on Linux also reports pending network errors of the new connection (aborted): that connection is
+// lost, and the listener works.
 constexpr std::array kAccept{
     Row{ECONNABORTED, ErrorClass::aborted},
     Row{EPROTO, ErrorClass::aborted},
--- a/io/failure.h
+++ b/io/failure.h
@@ -1,6 +1,6 @@
 // Classifies the errno of a failed system call: whether to retry, wait or give up, and whether the peer or
-// this machine caused the failure. One table serves all calls (accept(2), connect(2), recv(2), send(2),
-// socket(2), epoll_ctl(2), tcp(7)).
+// this machine caused the failure. Covers accept(2), connect(2), recv(2), send(2), socket(2) and
+// epoll_ctl(2); accept and connect have tables of their own beside the common one (see also tcp(7)).
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 enum class ErrorClass : std::uint8_t {
   interrupted,        // by a signal: retry at once (an interrupted connect continues by itself)
   would_block,        // nothing to do now: wait until the kernel reports the descriptor ready
-  resource_shortage,  // temporary: this machine is short of memory, descriptors, ports or routes
+  resource_shortage,  // temporary: this machine lacks memory, descriptors, ports or routes, or denies the call
   aborted,            // accept: the connection broke before it was accepted; the next one may be fine
   disconnected,       // the peer or the network broke or refused the connection
 };
--- a/profile/profile.h
+++ b/profile/profile.h
@@ -18,7 +18,7 @@
 
 struct DeploymentSettings {
   PolicySettings settings;
-  std::vector<std::string> type_names;  // by index; spaces and commas in a name are replaced by _
+  std::vector<std::string> type_names;  // by index; they arrive with spaces and commas replaced by _
   std::vector<std::string> tenant_names;
   std::vector<std::string> kind_names;
   std::vector<std::string> zone_names;
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -35,7 +35,9 @@
       return is_prefill ? HoldEvent::prefill_failed : HoldEvent::cache_missing;
     case Outcome::full:
       return is_prefill ? HoldEvent::prefill_refused : HoldEvent::decode_answered;
-    case Outcome::generated:  // a client error: it does not guarantee that nothing has run
+    // An attempt whose request the worker found invalid ends as generated too, as the client gets that
+    // answer. It does not prove that nothing has run.
+    case Outcome::generated:
       return is_prefill ? HoldEvent::prefill_failed : HoldEvent::decode_answered;
     default:
       break;
@@ -233,7 +235,7 @@
 }
 
 void Host::release(int request_index) {
-  // Where a single release frees everything, KvHold decides when it is sent.
+  // Where a single release frees everything, the KvHold of the request's lease decides when it is sent.
   if (traits_.single_release)
     return record_kv_event(*requests_[static_cast<std::size_t>(request_index)], HoldEvent::release_wanted);
   ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -3,11 +3,12 @@
 // passed to Actions before the call returns. policy.h declares both interfaces, state.h the state,
 // deployment.h the settings.
 //
-// After every input, run() applies the two rule lists below until no rule applies. The ordinary path follows
+// run() applies the two lists of rules below (worker_rules, request_rules) until none applies. It follows
+// every input; a worker list counts as one input, which list_ends() completes. The ordinary path follows
 // docs/design.md; a comment says "Guards against" where code protects that path, and "Differs from the
 // design" where it departs from it.
 //
-// The obligations that comments refer to by number:
+// The obligations of a router, which comments refer to by number ("rule 1"):
 //   rule 1  each accepted request gets exactly one final answer, before its deadline
 //   rule 2  no effect happens twice: a request that may have run is repeated only as its traffic type allows
 //   rule 3  a worker that drains or is gone gets no new work
@@ -27,31 +28,32 @@
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kSecond = 1'000 * kMs;
 // How often rules that depend on the time are evaluated.
-constexpr Nanos kTickInterval = 10 * kMs;
+constexpr Nanos kWakeupInterval = 10 * kMs;
 // Life of an entry in the table of prefix holders: about that of a session.
 constexpr Nanos kPrefixHolderLifetime = 60 * kSecond;
 // Decay time of learned values: long compared with a prefill and an answer.
 constexpr Nanos kLearningDecayTime = 10 * kSecond;
-// Decay time of a load report; an older one says no more than the average.
+// Time in which the estimate from a load report decays to the average of the reporting workers.
 constexpr Nanos kLoadReportDecayTime = kSecond;
-// Speed and size of a prefill that are assumed until answers are measured, with the weight of one short
-// prefill.
+// Speed and size of the one short prefill that is assumed until prefills have been measured; it keeps the
+// weight of a single measurement.
 constexpr double kInitialTokensPerSecond = 10'000;
 constexpr double kInitialPrefillTokens = 1'000;
-// A prefill worker counts as being as fast as the fleet, with the weight of prefills that take this long.
+// A prefill worker is assumed to be as fast as the fleet until its own prefills show otherwise; the
+// assumption has the weight of prefills that take this long together.
 constexpr double kWorkerSpeedPriorSeconds = 0.2;
 // Prefix holders tie within this share of the prefill time.
 constexpr double kTieShareOfPrefillTime = 0.1;
 // Decode workers tie within this share of their memory.
 constexpr double kTieShareOfDecodeMemory = 0.25;
-// Decode workers that are fuller than this preempt their newest answers and queue them again.
+// Above this share of memory, engines preempt their newest answers and queue them again.
 constexpr double kMaxDecodeMemoryShare = 0.92;
-// Share of other routers' requests at a prefill worker that still need their prefill; the rest wait to be
-// fetched.
+// Share of other routers' requests at a prefill worker that still need their prefill; the KV cache of the
+// rest waits to be fetched.
 constexpr double kOthersQueuedShare = 0.5;
 // Weight of a new sample in a smoothed wait.
 constexpr double kSmoothingWeight = 0.1;
-// A send may be delayed by this much beyond the 50 ms that the rules themselves allow.
+// A send may be delayed by this much beyond the 50 ms of slack that the obligations allow.
 constexpr Nanos kSendDelayMargin = 120 * kMs;
 // An attempt is overdue after this multiple of its expected duration plus the grace, which covers a pause, a
 // lost packet or a handshake.
@@ -64,10 +66,11 @@
 // Ejection time: a fixed part, plus a random part of up to kEjectionJitter.
 constexpr Nanos kEjectionTime = 2 * kSecond;
 constexpr Nanos kEjectionJitter = kSecond;
-// Requests in flight before their first token, per router. The limit grows by one per limit's worth of
-// answers.
+// Initial limit of requests in flight before their first token, per router. It grows by one per limit's worth
+// of started streams while latency pressure is low.
 constexpr double kInitialInFlightLimit = 8;
-// Per router, and per prefill worker over all routers: a lower limit would leave prefill workers idle.
+// Lower bound of that limit for a router, and for each prefill worker over all routers together: less would
+// leave prefill workers idle.
 constexpr double kMinInFlightLimit = 1;
 // The limit is reduced by this factor, at most once per interval.
 constexpr double kLimitReductionFactor = 0.7;
@@ -158,7 +161,7 @@
     run();
   }
 
-  void list_failed(Nanos now) override { now_ = now; }  // run() subscribes again in time
+  void list_failed(Nanos now) override { now_ = now; }  // the next run() subscribes again once it is due
   void request_arrived(Nanos now, int request_index, int type, int tenant, std::uint64_t session,
                        std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
                        double max_output_tokens, Nanos deadline) override {
@@ -202,7 +205,8 @@
     --worker.pending_attempts;
     ++state_.recent_answers[0];
     attempt.stream_started = true;
-    // Even if the attempt had been abandoned: should its stream break, the client still needs an answer.
+    // An abandoned attempt that streams counts again: should its stream break, the client still needs an
+    // answer.
     attempt.abandoned = false;
     record_success(worker);
     clear_kv_held(request);
@@ -350,8 +354,8 @@
       return request.parked;
     });
     if (state_.active.size() + state_.parked > 0 && state_.next_wakeup_at <= now_) {
-      state_.next_wakeup_at = now_ + kTickInterval;
-      actions_.request_wakeup(kTickInterval);
+      state_.next_wakeup_at = now_ + kWakeupInterval;
+      actions_.request_wakeup(kWakeupInterval);
     }
     expire_prefix_holders();
   }
@@ -387,7 +391,7 @@
     const Nanos longest =
         nanos(state_.mean_first_token_seconds + (prefill_worker_count() > 0) * state_.mean_prefill_seconds);
     return now_ >= queue_timeout || now_ + longest > deadline ||
-           now_ >= deadline - 2 * settings_.tick - kTickInterval;
+           now_ >= deadline - 2 * settings_.tick - kWakeupInterval;
   }
   bool queue_is_quiet() const {
     return state_.queue.empty() ||
@@ -577,7 +581,7 @@
 
   // Rule 1: the last moment at which an answer is sure to arrive in time.
   bool deadline_is_near(const RequestState& request) const {
-    return awaits_stream(request) && now_ >= request.deadline - 2 * settings_.tick - kTickInterval;
+    return awaits_stream(request) && now_ >= request.deadline - 2 * settings_.tick - kWakeupInterval;
   }
   // Rule 5, with half of the limit as margin: no decode worker has taken the KV cache.
   bool kv_limit_is_near(const RequestState& request) const {
@@ -965,7 +969,7 @@
   bool may_send(const RequestState& request, bool is_prefill) const {
     if (static_cast<int>(request.attempts.size()) + (is_prefill ? 2 : 1) > settings_.max_attempts)
       return false;
-    if (now_ >= request.deadline - 2 * settings_.tick - kTickInterval) return false;  // rule 1
+    if (now_ >= request.deadline - 2 * settings_.tick - kWakeupInterval) return false;  // rule 1
     return settings_.allow_parallel_attempts || std::ranges::none_of(request.attempts, &Attempt::outstanding);
   }
   bool may_send(const RequestState& request, const Worker& worker, bool is_prefill) const {
