--- a/programs/day.cpp
+++ b/programs/day.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 
 #include "command_line.h"
-#include "rig/player.h"
+#include "rig/scenario_runner.h"
 
 using namespace cressrill;
 
--- a/programs/engine.cpp
+++ b/programs/engine.cpp
@@ -1,8 +1,8 @@
 // cressrill-engine: stand-in engines, any number in one process, each on an address of its own.
 #include "command_line.h"
 #include "io/signals.h"
+#include "rig/discovery_stand_in.h"
 #include "rig/fleet_file.h"
-#include "rig/roster.h"
 
 using namespace cressrill;
 
--- a/programs/roster.cpp
+++ b/programs/roster.cpp
@@ -1,8 +1,7 @@
 // cressrill-roster: a stand-in for discovery.
-#include "rig/roster.h"
-
 #include "command_line.h"
 #include "io/signals.h"
+#include "rig/discovery_stand_in.h"
 
 using namespace cressrill;
 
--- a/programs/verdict.cpp
+++ b/programs/verdict.cpp
@@ -1,6 +1,6 @@
 // cressrill-verdict: checks the five rules on the records of a scenario alone.
 #include "command_line.h"
-#include "rig/player.h"
+#include "rig/scenario_runner.h"
 
 using namespace cressrill;
 
--- a/rig/cost.cpp
+++ b/rig/cost.cpp
@@ -6,8 +6,8 @@
 #include <fstream>
 
 #include "client.h"
+#include "discovery_stand_in.h"
 #include "fleet_file.h"
-#include "roster.h"
 #include "router/instance.h"
 
 namespace cressrill::rig {
@@ -148,10 +148,11 @@
   std::unique_ptr<Policy> policy_;
 };
 
-core::RouterConfig make_router_config(const std::string& roster) {
-  const std::string path = fmt::format("/tmp/cressrill-cost-{}.toml", static_cast<const void*>(&roster));
+core::RouterConfig make_router_config(const std::string& discovery_address) {
+  const std::string path =
+      fmt::format("/tmp/cressrill-cost-{}.toml", static_cast<const void*>(&discovery_address));
   std::ofstream(path)
-      << "[router]\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nroster = \"" << roster
+      << "[router]\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nroster = \"" << discovery_address
       << "\"\nzone = \"a\"\nzones = [\"a\"]\nrouters = 1\nlog_level = \"info\"\n"
          "[rules]\ndrain_grace_ms = 500\nattempts = 8\npin_limit_ms = 1000\ncold_from = 0.25\n"
          "ramp_ms = 8000\nfall_multiple = 3\nfall_ms = 2000\n"
--- a/rig/roster.cpp
+++ b/rig/discovery_stand_in.cpp
@@ -1,4 +1,4 @@
-#include "roster.h"
+#include "discovery_stand_in.h"
 
 namespace cressrill::rig {
 
--- a/rig/crowd.cpp
+++ b/rig/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "crowd.h"
+#include "load_generator.h"
 
 #include <fmt/format.h>
 
--- a/rig/crowd.h
+++ b/rig/load_generator.h
@@ -10,7 +10,7 @@
 #include <set>
 
 #include "client.h"
-#include "day.h"
+#include "scenario.h"
 
 namespace cressrill::rig {
 
--- a/rig/day.cpp
+++ b/rig/scenario.cpp
@@ -1,4 +1,4 @@
-#include "day.h"
+#include "scenario.h"
 
 #include <fmt/format.h>
 
@@ -157,7 +157,8 @@
 }
 
 std::string router_file(const Scenario& scenario, const RouterEntry& router, const std::string& listen,
-                        const std::string& admin, const std::string& roster, const std::string& last_list) {
+                        const std::string& admin, const std::string& discovery_address,
+                        const std::string& last_list) {
   std::string zones;
   for (const std::string& zone : scenario.config.zones)
     zones += (zones.empty() ? "\"" : ", \"") + zone + "\"";
@@ -165,8 +166,8 @@
              "[router]\nname = \"{}\"\nlisten = \"{}\"\nadmin = \"{}\"\nroster = \"{}\"\nlast_list = "
              "\"{}\"\nzone = \"{}\"\n"
              "zones = [{}]\nrouters = {}\ntick_ms = {}\nlog_level = \"debug\"\n\n",
-             router.name, listen, admin, roster, last_list, router.zone, zones, scenario.routers.size(),
-             static_cast<double>(scenario.config.settings.tick) / 1e6) +
+             router.name, listen, admin, discovery_address, last_list, router.zone, zones,
+             scenario.routers.size(), static_cast<double>(scenario.config.settings.tick) / 1e6) +
          scenario.shared_toml;
 }
 
--- a/rig/day.h
+++ b/rig/scenario.h
@@ -78,7 +78,8 @@
 std::vector<std::string> fault_kinds();
 // The text of a router's configuration file.
 std::string router_file(const Scenario& scenario, const RouterEntry& router, const std::string& listen,
-                        const std::string& admin, const std::string& roster, const std::string& last_list);
+                        const std::string& admin, const std::string& discovery_address,
+                        const std::string& last_list);
 // The text of the file with all engines of the scenario.
 std::string engines_file(const Scenario& scenario);
 // Whether a name matches one of the patterns. A pattern that ends in '*' matches every name with that prefix.
--- a/rig/player.cpp
+++ b/rig/scenario_runner.cpp
@@ -1,4 +1,4 @@
-#include "player.h"
+#include "scenario_runner.h"
 
 #include <fmt/format.h>
 
@@ -77,7 +77,7 @@
 
   io::Task<bool> start_all() {
     std::ofstream(folder_ + "/engines.toml") << engines_file(scenario_);
-    discovery_ = Process({programs_.roster, "--listen", discovery_address().to_string(), "--record",
+    discovery_ = Process({programs_.discovery, "--listen", discovery_address().to_string(), "--record",
                           folder_ + "/roster.jsonl"},
                          folder_ + "/log-roster.txt");
     if (!co_await poll_until(discovery_address(), "/v1/workers", [](const std::string&) { return true; })) {
--- a/rig/player.h
+++ b/rig/scenario_runner.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "crowd.h"
+#include "load_generator.h"
 #include "process.h"
 
 namespace cressrill::rig {
@@ -14,7 +14,7 @@
 struct Programs {
   std::vector<std::string> router;  // the command, to which --config FILE is appended
   std::string engine;
-  std::string roster;
+  std::string discovery;
 };
 
 // Stores the settings that the rules are checked with beside the records.
--- a/router/roster_client.cpp
+++ b/router/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "roster_client.h"
+#include "discovery_client.h"
 
 #include <cstdio>
 #include <fstream>
@@ -11,7 +11,7 @@
 constexpr io::Nanos kMaxReconnectDelay = 2 * io::kSecond;
 }  // namespace
 
-RosterClient::RosterClient(io::Loop& loop, const core::RouterConfig& config, core::Log& log, Host& host)
+DiscoveryClient::DiscoveryClient(io::Loop& loop, const core::RouterConfig& config, core::Log& log, Host& host)
     : loop_(loop),
       config_(config),
       log_(log),
@@ -22,7 +22,7 @@
   scope_.spawn(run());
 }
 
-void RosterClient::load_saved_list() {
+void DiscoveryClient::load_saved_list() {
   if (config_.last_list_path.empty()) return;
   std::ifstream file(config_.last_list_path);
   if (!file) return;
@@ -39,7 +39,7 @@
   }
 }
 
-void RosterClient::save_list() {
+void DiscoveryClient::save_list() {
   if (config_.last_list_path.empty()) return;
   const std::string temporary_path = config_.last_list_path + ".next";
   {
@@ -51,7 +51,7 @@
     log_.warn("worker list not saved", {{"file", config_.last_list_path}});
 }
 
-void RosterClient::handle_line(const std::string& line) {
+void DiscoveryClient::handle_line(const std::string& line) {
   if (line.empty()) return;
   try {
     const core::WorkerList list = core::parse_worker_list(line);
@@ -71,7 +71,7 @@
   }
 }
 
-io::Task<> RosterClient::run() {
+io::Task<> DiscoveryClient::run() {
   io::Nanos delay = kMinReconnectDelay;
   for (;;) {
     {
@@ -89,7 +89,7 @@
   }
 }
 
-io::Task<> RosterClient::follow(http::Connection& connection) {
+io::Task<> DiscoveryClient::follow(http::Connection& connection) {
   const std::string text =
       http::format_request("GET", "/v1/workers?watch=" + config_.name, config_.discovery_address, "", "");
   const io::IoResult written = co_await connection.socket.write_all(text);
--- a/router/roster_client.h
+++ b/router/discovery_client.h
@@ -6,9 +6,9 @@
 
 namespace cressrill::router {
 
-class RosterClient {
+class DiscoveryClient {
  public:
-  RosterClient(io::Loop& loop, const core::RouterConfig& config, core::Log& log, Host& host);
+  DiscoveryClient(io::Loop& loop, const core::RouterConfig& config, core::Log& log, Host& host);
 
  private:
   io::Task<> run();
--- a/router/instance.cpp
+++ b/router/instance.cpp
@@ -7,7 +7,7 @@
     : config_(config),
       protocol_(config),
       host_(loop, config, log, counters_, protocol_, seed, create_policy),
-      roster_client_(loop, config, log, host_),
+      discovery_client_(loop, config, log, host_),
       server_(
           loop, *io::parse_address(config.listen_address),
           [this](http::Request& request, http::ResponseWriter& response) {
--- a/router/instance.h
+++ b/router/instance.h
@@ -1,8 +1,8 @@
 // A running router: its listeners, its host and its discovery client.
 #pragma once
 
+#include "discovery_client.h"
 #include "openai.h"
-#include "roster_client.h"
 
 namespace cressrill::router {
 
@@ -24,7 +24,7 @@
   core::Counters counters_;
   OpenAi protocol_;
   Host host_;
-  RosterClient roster_client_;
+  DiscoveryClient discovery_client_;
   http::Server server_;
   std::unique_ptr<http::Server> admin_server_;
 };
--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -15,8 +15,8 @@
 
 #include "loopback.h"
 #include "rig/client.h"
+#include "rig/discovery_stand_in.h"
 #include "rig/fleet_file.h"
-#include "rig/roster.h"
 #include "rig/verdict.h"
 #include "router/instance.h"
 
