--- a/rig/process.cpp
+++ b/rig/process.cpp
@@ -1,7 +1,6 @@
 #include "process.h"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
 
@@ -46,9 +45,7 @@
   return false;
 }
 
-void Process::terminate() {
-  if (running()) ::kill(pid_, SIGTERM);
-}
+bool Process::send_signal(int number) { return running() && ::kill(pid_, number) == 0; }
 
 void Process::kill() {
   if (!running()) return;
--- a/rig/process.h
+++ b/rig/process.h
@@ -1,6 +1,8 @@
 // A child process.
 #pragma once
 
+#include <signal.h>
+
 #include <string>
 #include <vector>
 
@@ -20,8 +22,10 @@
   int pid() const { return pid_; }
   // Reaps the child if it has ended.
   bool running();
-  void terminate();  // SIGTERM
-  void kill();       // SIGKILL, and waits for it
+  // False if the child has ended: its process id may stand for other processes by then, or for all (-1).
+  bool send_signal(int number);
+  void terminate() { send_signal(SIGTERM); }
+  void kill();  // SIGKILL, and waits for the end
   // The exit status, or the negated signal number. Valid once running() has returned false.
   int status() const { return status_; }
 
--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -464,12 +464,11 @@
     Router& router = any_router();
     if (router.busy || !router.process.running()) co_return;
     const io::Nanos suspended_for = random_duration(20, 140);
-    ::kill(router.process.pid(), SIGSTOP);
+    router.process.send_signal(SIGSTOP);
     record_.record("trouble",
                    {{"what", "router held up"}, {"router", router.name}, {"ms", suspended_for / kMs}});
-    const int pid = router.process.pid();
     co_await loop_.sleep_for(suspended_for);
-    ::kill(pid, SIGCONT);
+    router.process.send_signal(SIGCONT);
   }
 
   // Moves a router to another discovery agent by SIGHUP. At times the file is only half written when it
@@ -482,7 +481,7 @@
     const bool in_halves = random_int(0, 1) == 0;
     record_.record("trouble", {{"what", "reload"}, {"router", router.name}, {"in_halves", in_halves}});
     write_file(router.config, std::string_view(text).substr(0, in_halves ? text.size() / 2 : text.size()));
-    if (router.process.running()) ::kill(router.process.pid(), SIGHUP);
+    router.process.send_signal(SIGHUP);
     co_await loop_.sleep_for(random_duration(50, 600));
     write_file(router.config, text);
   }
@@ -507,13 +506,13 @@
     }
     const bool sends_signal_series = random_int(0, 2) == 0;
     if (sends_signal_series) {
-      ::kill(router.process.pid(), SIGHUP);
-      ::kill(router.process.pid(), SIGHUP);
+      router.process.send_signal(SIGHUP);
+      router.process.send_signal(SIGHUP);
     }
     router.process.terminate();
     record_.record("terminated", {{"router", router.name}});
     if (sends_signal_series) {
-      ::kill(router.process.pid(), SIGUSR1);
+      router.process.send_signal(SIGUSR1);
       router.process.terminate();
     }
     const io::Nanos started_at = loop_.now();
@@ -548,9 +547,9 @@
     if (std::exchange(worker.busy, true)) co_return;
     const io::Nanos stopped_for = random_duration(200, 3000);
     record_.record("stopped", {{"process", worker_id(worker)}, {"for", stopped_for}});
-    ::kill(worker.process.pid(), SIGSTOP);
+    worker.process.send_signal(SIGSTOP);
     co_await loop_.sleep_for(stopped_for);
-    ::kill(worker.process.pid(), SIGCONT);
+    worker.process.send_signal(SIGCONT);
     worker.busy = false;
   }
 
@@ -575,12 +574,12 @@
         worker.links_silent = true;
         record_.record("links_cut", {{"worker", worker.name}});
       }
-      ::kill(worker.proxy.pid(), for_good ? SIGUSR1 : SIGUSR2);
+      worker.proxy.send_signal(for_good ? SIGUSR1 : SIGUSR2);
     }
     if (for_good) co_return;
     co_await loop_.sleep_for(random_duration(200, 2500));
     for (const std::size_t i : chosen) {
-      ::kill(workers_[i].proxy.pid(), SIGHUP);
+      workers_[i].proxy.send_signal(SIGHUP);
       workers_[i].links_silent = false;
       record_.record("links_pass", {{"worker", workers_[i].name}});
     }
