--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -497,11 +497,17 @@
     router.busy = false;
   }
 
+  // Process::kill() blocks until the process has ended. Clients would stand still for that time.
+  io::Task<> kill_process(Process& process) {
+    process.send_signal(SIGKILL);
+    while (process.running()) co_await loop_.sleep_for(kMs);
+  }
+
   io::Task<> end_router(Router& router, bool is_graceful) {
     if (!is_graceful) {
       record_.record("killed", {{"process", router.name}});
-      router.process.kill();
       router.open = false;
+      co_await kill_process(router.process);
       co_return;
     }
     const bool sends_signal_series = random_int(0, 2) == 0;
@@ -525,7 +531,7 @@
       co_await loop_.sleep_for(10 * kMs);
     if (router.process.running()) {
       record_.record("late_exit", {{"router", router.name}});
-      router.process.kill();
+      co_await kill_process(router.process);
     } else if (router.process.status() != 0) {
       record_breach(fmt::format("{} ended with {}", router.name, router.process.status()));
     }
@@ -590,7 +596,7 @@
     Worker& worker = any_worker();
     if (std::exchange(worker.busy, true)) co_return;
     record_.record("killed", {{"process", worker_id(worker)}});
-    worker.process.kill();
+    co_await kill_process(worker.process);
     co_await loop_.sleep_for(random_duration(100, 1500));
     put_in_discovery(worker, "removed", 0);
     ++worker.generation;
@@ -607,7 +613,7 @@
     record_.record("draining", {{"worker", worker_id(worker)}});
     co_await loop_.sleep_for(random_duration(7000, 9000));
     put_in_discovery(worker, "removed", 0);
-    worker.process.kill();
+    co_await kill_process(worker.process);
     ++worker.generation;
     start_worker(worker);
     put_in_discovery(worker, "up", unix_ms());
