--- a/src/state.h
+++ b/src/state.h
@@ -59,7 +59,7 @@
   bool is_prefill{};
   bool outstanding{};
   bool stream_started{};
-  bool rejected_or_timed_out{};
+  bool full_or_timed_out{};
   bool abandoned{};         // cancelled, or no longer waited for
   bool may_have_left_kv{};  // a prefill that may have left KV cache without reporting it
   Nanos sent_at{};
@@ -108,7 +108,7 @@
   Nanos cache_valid_since{};  // earlier entries of the table of prefix holders no longer count
   Nanos gone_since{};         // 0: it is listed
   Nanos cold_since{};         // its start, listed or inferred from failures; kNever: warm
-  Nanos last_heard{};
+  Nanos last_response_at{};
   bool connection_broken{};  // a connection has broken since the worker last answered
   bool was_unreachable{};    // after a connection had broken, another could not be opened
   Nanos ejected_until{};
@@ -166,14 +166,14 @@
   RunningMean mean_other_requests[3];  // requests of other routers at a worker, by role
   LinearFit prefill_time_fit{};        // over all prefill workers
   double mean_prefill_tokens{};        // smoothed uncached tokens of a prefill
-  Nanos limit_cut_at{};
+  Nanos in_flight_limit_reduced_at{};
   // Smoothed share of the latency SLO that passes from the start of the prefill to the first token.
   double latency_pressure{};
-  Nanos holders_swept_at{};
+  Nanos holders_expired_at{};
   double mean_first_token_seconds{};    // smoothed wait for the first token at a decode worker
   double mean_prefill_seconds{};        // smoothed duration of a prefill
   double recent_sends[2]{};             // decayed counts of attempts sent: [0] decode, [1] prefill
-  double recent_answers[2]{};           // decayed counts of those that brought a first token or a prefill
+  double recent_successes[2]{};         // decayed counts of those that brought a first token or a prefill
   std::vector<double> tenant_arrivals;  // decayed count of each tenant's requests
   std::vector<Nanos> tenant_updated_at;
   Nanos subscribed_at{};
