--- a/src/deployment.h
+++ b/src/deployment.h
@@ -1,4 +1,4 @@
-// The settings of a routing policy. Whoever hosts the policy fills them in once, at start.
+// The settings of a routing policy, which its host fills in once, at start.
 #pragma once
 
 #include <vector>
@@ -18,16 +18,16 @@
 
 struct WorkerKind {
   Role role{};
-  double memory_tokens{};  // 0: not configured
+  double memory_tokens{};  // capacity for KV cache; 0: not configured
 };
 
 struct PolicySettings {
   std::vector<TrafficType> types;
   std::vector<double> tenant_rates;  // requests per second within a tenant's share, over all routers
   std::vector<WorkerKind> kinds;
-  int routers{};
-  int zone{};
-  Nanos tick{};  // granularity of the host's time
+  int routers{};  // number of routers that share the workers
+  int zone{};     // this router's
+  Nanos tick{};   // granularity of the host's time
   int max_attempts{};
   bool can_cancel{};
   bool allow_parallel_attempts{};
@@ -35,11 +35,11 @@
   Nanos max_retry_after{};
   bool needs_subscription{};  // the worker list is sent only to subscribers
   Nanos subscription_lifetime{};
-  double cross_zone_price{};  // a share of the utility, weighed like seconds of waiting
+  double cross_zone_price{};  // cost of crossing zones: a share of the utility, counted as seconds of waiting
   Nanos kv_hold_limit{};
   double cold_start_capacity{};  // share of the capacity that a worker has when it starts
   Nanos ramp_time{};             // until a started worker has its full capacity
-  double overload_factor{};      // multiple of its capacity that a cold worker stands over overload_window
+  double overload_factor{};  // multiple of its capacity that a cold worker withstands over overload_window
   Nanos overload_window{};
 };
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -918,7 +918,8 @@
             kOthersQueuedShare * other_requests(worker) * state_.mean_prefill_tokens) *
            seconds_per_token;
   }
-  // Crossing zones costs a share of the utility, which counts like as many seconds of waiting.
+  // Crossing zones costs a share of the utility, which counts like as many seconds of waiting, and the margin
+  // within which load scores tie, so that a worker in another zone needs more than a tie.
   double zone_penalty_seconds(const Worker& worker) const {
     return worker.zone == settings_.zone
                ? 0
@@ -1160,7 +1161,7 @@
     }
     return longest;
   }
-  // Also halves the counts of recent sends and answers.
+  // Also halves the counts of recent sends and successes.
   void expire_prefix_holders() {
     if (now_ - state_.holders_expired_at < kPrefixHolderLifetime / 4) return;
     state_.holders_expired_at = now_;
--- a/src/release_plan.cpp
+++ b/src/release_plan.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
-// Calls with the shortest delay between them.
+// Number of calls with the shortest delay between them.
 constexpr int kCallsAtShortestDelay = 16;
-// Further calls after which the delay doubles each time.
+// Number of further calls after which the delay doubles each time.
 constexpr int kCallsPerDoubling = 4;
 constexpr int kMaxDoublings = 5;
 
--- a/src/state.h
+++ b/src/state.h
@@ -1,5 +1,5 @@
-// The state of a routing policy as plain types, grouped by lifetime: an attempt, a request, a worker, the
-// policy.
+// The types that the policy shares with its host, and the state of a routing policy as plain types, grouped
+// by lifetime: an attempt, a request, a worker, the policy.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,29 @@
 using Nanos = std::int64_t;
 constexpr Nanos kNever = std::numeric_limits<Nanos>::max();
 
+// Whether a request that may have run may be sent again: at any time; if workers recognise the repeat by its
+// token, which they do for a limited time; or never.
 enum class Effect { repeatable, tokened, once_only };
+// The workers that recognise a repeated request of a worker: all, those of its zone, or those of its cell.
 enum class Group { all, zone, cell };
 enum class Role { prefill, decode, mixed };
 enum class WorkerStatus { gone, ready, draining };
 enum class Stage { queued, prefilling, prefilled, decoding, streaming, finished };
+// How an attempt ended.
 enum class Outcome {
-  generated,
-  prefill_done,
-  error,
-  full,
-  kv_missing,
-  timed_out,
-  connect_failed,
-  connection_lost,
-  cancelled,
-  not_sent,
+  generated,        // its final response is complete
+  prefill_done,     // its KV cache is held
+  error,            // the worker responded with an error, or invalidly
+  full,             // the worker reported being full
+  kv_missing,       // the worker found no KV cache to decode from
+  timed_out,        // no result within AttemptLimits::timeout
+  connect_failed,   // no connection could be opened
+  connection_lost,  // the connection broke before the result
+  cancelled,        // by the router, also when the client has left
+  not_sent,         // it never reached the worker
 };
 
-// The load that a worker reports with an answer.
+// The load that a worker reports with a response.
 struct LoadReport {
   bool received{};
   double requests{-1};      // at the worker, including those whose KV cache is held; negative: not reported
@@ -44,7 +48,7 @@
   double samples{};
 };
 
-// Decayed sums for a line fitted through points of (tokens, seconds).
+// Decayed sums for a line fitted through points (x, y) = (tokens, seconds).
 struct LinearFit {
   double weight{};
   double sum_x{};
@@ -60,22 +64,23 @@
   bool outstanding{};
   bool stream_started{};
   bool full_or_timed_out{};
-  bool abandoned{};         // cancelled, or no longer waited for
-  bool may_have_left_kv{};  // a prefill that may have left KV cache without reporting it
+  bool abandoned{};         // no longer waited for; cancelled, if the host can cancel
+  bool may_have_left_kv{};  // a prefill without a result, which may have left KV cache
   Nanos sent_at{};
   Nanos expected_duration{};
-  double load_tokens{};             // load that it adds to the worker
+  double load_tokens{};             // added to the worker's prefill or decode tokens until it ends
   double queued_tokens_ahead{};     // this router's tokens that were queued at the prefill worker before it
   double expected_cached_tokens{};  // by the table of prefix holders
   Nanos prefix_recorded_at{};       // time of the table entry behind expected_cached_tokens
 };
 
+// A request that has arrived. The host assigns its id, which is its index.
 struct RequestState {
   int id{};
   Stage stage{};
   int type{};
   bool within_tenant_share{};
-  double admission_draw{};   // random, drawn once: decides which cold workers may get the request
+  double admission_draw{};   // random in [0, 1), drawn once: decides which cold workers may get the request
   double uncached_tokens{};  // prompt tokens that no prefill worker is expected to have cached
   std::uint64_t session{};
   std::uint64_t prefix_hash{};
@@ -86,12 +91,12 @@
   Nanos slo_deadline{};
   Nanos dequeued_at{};  // when its latest prefill was started
   Nanos deadline{};
-  Nanos kv_held_since{};     // latest outcome while KV cache may be held; kNever: none is held
-  int prefill_worker{-1};    // holds the KV cache
+  Nanos kv_held_since{};     // latest end or abandonment of an attempt; kNever: no KV cache is held
+  int prefill_worker{-1};    // worker of the latest prefill; holds the KV cache
   int maybe_ran_worker{-1};  // decode worker of the first attempt that may have run
   Nanos maybe_ran_since{};   // when that attempt was sent
   bool maybe_ran{};          // a decode attempt has ended and may have run
-  bool parked{};             // not among the active requests until an input concerns it or it is due
+  bool parked{};             // not among PolicyState::active, as no transition applies to it for now
   std::uint64_t arrival_order{};
   std::vector<Attempt> attempts{};
 };
@@ -105,32 +110,35 @@
   int zone{};
   int cell{};
   Nanos started_at{};         // by the worker list
-  Nanos cache_valid_since{};  // earlier entries of the table of prefix holders no longer count
+  Nanos cache_valid_since{};  // prefix holder entries that were recorded earlier no longer count
   Nanos gone_since{};         // 0: it is listed
   Nanos cold_since{};         // its start, listed or inferred from failures; kNever: warm
   Nanos last_response_at{};
-  bool connection_broken{};  // a connection has broken since the worker last answered
+  bool connection_broken{};  // a connection has broken since the worker's latest success
   bool was_unreachable{};    // after a connection had broken, another could not be opened
   Nanos ejected_until{};
-  bool half_open{};         // back from ejection: one attempt at a time until it answers
+  bool half_open{};         // after an ejection: only one attempt at a time until a success
   double failure_score{};   // rises with each failure, halved by each success
-  Nanos backoff_until{};    // no sends before: it was full or could not be reached
+  Nanos backoff_until{};    // no sends before this time, as it was full or could not be reached
   int pending_attempts{};   // this router's attempts that have neither ended nor started to stream
   int kv_entries{};         // this router's requests whose KV cache is held here
   double prefill_tokens{};  // this router's tokens that wait for their prefill here
   double decode_tokens{};   // this router's tokens held here or on their way here
-  mutable Nanos next_overdue_at{kNever};  // no unanswered attempt here becomes overdue before
-  bool watched{};                         // among the workers that a rule may act on
+  mutable Nanos next_overdue_at{kNever};  // no awaited attempt here becomes overdue before this time
+  bool watched{};                         // among PolicyState::watched
   double decode_tokens_since_report{};    // part of decode_tokens that was sent since the last load report
   Nanos reported_at{};
-  double reported_requests{-1};
-  double own_requests_at_report{};
-  double reported_memory_share{-1};
+  double reported_requests{-1};        // negative: not reported
+  double own_requests_at_report{};     // part of reported_requests that came from this router
+  double reported_memory_share{-1};    // negative: not reported
   double measured_prefill_seconds{};   // decayed sum
   double predicted_prefill_seconds{};  // decayed sum, by the fit over all prefill workers
   Nanos speed_updated_at{};
   // Valid only while a choice among the workers is made.
-  double seconds_per_token{}, load_score{}, cache_advantage{}, memory_fullness{};
+  double seconds_per_token{};
+  double load_score{};
+  double cache_advantage{};
+  double memory_fullness{};
 };
 
 // A worker that has cached the tokens of a session or shared prefix.
@@ -140,8 +148,7 @@
   Nanos recorded_at{};
 };
 
-// The ready workers, counted at the end of each worker list: [0] decode and mixed workers, [1] prefill
-// workers.
+// The ready workers as of the latest worker list: [0] decode and mixed workers, [1] prefill workers.
 struct WorkerCounts {
   std::vector<int> ready[2];  // indices, ascending
   std::unordered_map<int, double> in_zone[2];
@@ -150,15 +157,15 @@
 
 struct PolicyState {
   std::vector<RequestState> requests;  // by index
-  std::vector<int> active;             // requests that a rule may act on, in order of arrival
+  std::vector<int> active;             // requests that a transition may act on, in order of arrival
   std::size_t parked{};                // number of requests that are not active
   std::vector<int> queue;              // parked requests that wait for a prefill
-  Nanos queue_next_timeout{kNever};    // none in the queue exceeds its queue time before
-  Nanos queue_next_deadline{kNever};   // none in the queue has an earlier deadline
-  std::uint64_t arrivals{};
-  int in_flight{};              // requests from the start of their prefill to their first token
-  std::vector<Worker> workers;  // by index
-  std::vector<int> watched;     // workers with pending attempts or enough failures to be ejected
+  Nanos queue_next_timeout{kNever};    // no request in the queue exceeds its queue time before this time
+  Nanos queue_next_deadline{kNever};   // no request in the queue has an earlier deadline
+  std::uint64_t arrivals{};            // number of requests so far
+  int in_flight{};                     // requests from the start of their prefill to their first token
+  std::vector<Worker> workers;         // by index
+  std::vector<int> watched;            // workers with pending attempts or enough failures to be ejected
   WorkerCounts worker_counts;
   std::unordered_map<std::uint64_t, std::vector<PrefixHolder>> prefix_holders;  // by session or prefix hash
   double in_flight_limit{};
@@ -173,7 +180,7 @@
   double mean_first_token_seconds{};    // smoothed wait for the first token at a decode worker
   double mean_prefill_seconds{};        // smoothed duration of a prefill
   double recent_sends[2]{};             // decayed counts of attempts sent: [0] decode, [1] prefill
-  double recent_successes[2]{};         // decayed counts of those that brought a first token or a prefill
+  double recent_successes[2]{};         // decayed counts of first tokens [0] and finished prefills [1]
   std::vector<double> tenant_arrivals;  // decayed count of each tenant's requests
   std::vector<Nanos> tenant_updated_at;
   Nanos subscribed_at{};
