--- a/src/kv_hold.cpp
+++ b/src/kv_hold.cpp
@@ -11,25 +11,27 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// If a worker has reported that it holds KV cache, a release begins when this much of the limit is left:
-// enough to call a second and a third worker should the first ones not answer.
+// If a worker has reported that it holds KV cache, a release begins when this much of the limit remains:
+// enough to call a second and a third worker if the first ones do not respond.
 constexpr Nanos release_lead(Nanos limit) { return limit / 4; }
 
-// If it is not known whether anything is held, a release may void a running prefill, so it begins as late as
-// the rule allows: 300 ms past the limit, less 150 ms for a delay of the process and 100 ms for some calls.
+// If it is not known whether anything is held, a release may void a running prefill, so it begins as late
+// as rule 5 (in policy.cpp) allows: 300 ms past the limit, less 150 ms for a delay of the process and 100
+// ms for a few calls.
 constexpr Nanos kUnconfirmedReleaseDelay = (300 - 150 - 100) * kMs;
 
 constexpr Nanos kImmediately = 0;
 
-// A further attempt usually follows at once and may take what is held, so no release call is made meanwhile.
+// How long a release that is wanted waits for a further attempt, which usually follows at once and may take
+// what is held.
 constexpr Nanos further_attempt_wait(Nanos limit) { return limit / 40; }
 
-// If the limit ends just after an answer, a release waits this long for a further attempt to connect and to
-// be written.
-constexpr Nanos kDelayAfterAnswer = 100 * kMs;
+// If the limit ends just after a response, a release waits this long for a further attempt to connect and
+// to be written.
+constexpr Nanos kDelayAfterResponse = 100 * kMs;
 
-// Bytes may be in transit for this long on a working link. An earlier answer on another connection proves
-// nothing about an attempt, as the link may have fallen silent since.
+// Bytes may be in transit for this long on a working link. A response to a call that was made earlier on
+// another connection proves nothing about an attempt, as the link may have fallen silent since.
 constexpr Nanos kMaxTransitTime = 200 * kMs;
 
 // A worker no longer acts on an attempt that was lost this long ago.
@@ -53,14 +55,14 @@
 
 HoldState KvHold::state() const {
   if (needs_release() && release_.requested) return HoldState::releasing;
-  if (needs_release() && evidence_.confirmed) return HoldState::held;
+  if (needs_release() && evidence_.held_reported) return HoldState::held;
   if (taken_) return HoldState::taken;
   if (needs_release()) return HoldState::maybe_held;
-  return release_.confirmed ? HoldState::released : HoldState::none;
+  return release_.ever_confirmed ? HoldState::released : HoldState::none;
 }
 
 bool KvHold::may_be_held() const {
-  return evidence_.left || std::ranges::any_of(attempts_, &Attempt::prefill);
+  return evidence_.may_be_left || std::ranges::any_of(attempts_, &Attempt::prefill);
 }
 
 // Events of attempts.
@@ -82,7 +84,7 @@
     return true;
   }
   if (event == HoldEvent::prefill_answered) {
-    evidence_.since = std::min(evidence_.since, now);
+    evidence_.earliest_left_at = std::min(evidence_.earliest_left_at, now);
     return true;
   }
   const Nanos attempt_written_at = ended->written_at;
@@ -90,36 +92,37 @@
   return of_prefill ? prefill_ended(event, now) : decode_ended(event, now, attempt_written_at);
 }
 
-// Whether a prefill may already have left something that no release has freed.
-bool KvHold::may_be_left() const {
-  return evidence_.left ||
-         std::ranges::any_of(attempts_, [](const Attempt& a) { return a.prefill && !a.covered; });
+// Whether a prefill may have left something that no release has freed.
+bool KvHold::may_have_left_kv() const {
+  return evidence_.may_be_left ||
+         std::ranges::any_of(attempts_, [](const Attempt& a) { return a.prefill && !a.released_since_lost; });
 }
 
-// The limit counts from when the first prefill is no longer assumed to be running. Later writes do not
-// restart it.
+// The limit counts from the time when the first prefill is no longer assumed to be running. Later writes do
+// not restart it.
 void KvHold::attempt_written(const Attempt& attempt, Nanos assumed_run_time) {
   if (attempt.prefill) {
-    if (!may_be_left()) evidence_ = {};
-    evidence_.since = std::min(evidence_.since, attempt.written_at + assumed_run_time);
+    if (!may_have_left_kv()) evidence_ = {};
+    evidence_.earliest_left_at = std::min(evidence_.earliest_left_at, attempt.written_at + assumed_run_time);
   }
   attempts_.push_back(attempt);
-  // The attempt may be answered soon; a release is continued only when the limit is near.
+  // The attempt may soon take what is held, so a release that is under way is not continued until the limit
+  // is near.
   const bool was_wanted = std::exchange(release_.wanted_at, kNever) != kNever;
-  if (was_wanted && !over_) release_.requested = false;
+  if (was_wanted && !request_over_) release_.requested = false;
 }
 
 void KvHold::attempt_lost(Attempt& attempt, Nanos now) {
   attempt.lost = true;
   attempt.lost_at = now;
-  evidence_.since = std::min(evidence_.since, now);
+  evidence_.earliest_left_at = std::min(evidence_.earliest_left_at, now);
   if (attempt.prefill && !taken_) release_.prefill_lost = true;
 }
 
 bool KvHold::prefill_ended(HoldEvent event, Nanos now) {
   switch (event) {
     case HoldEvent::prefill_done:
-      evidence_.confirmed = true;
+      evidence_.held_reported = true;
       release_.prefill_lost = false;
       prefill_left_kv(now);
       return true;
@@ -133,18 +136,18 @@
 }
 
 void KvHold::prefill_left_kv(Nanos now) {
-  evidence_.left = true;
-  evidence_.since = std::min(evidence_.since, now);
-  attempt_answered(now);
-  if (over_) release_.requested = true;
+  evidence_.may_be_left = true;
+  evidence_.earliest_left_at = std::min(evidence_.earliest_left_at, now);
+  response_arrived(now);
+  if (request_over_) release_.requested = true;
   if (taken_) release_.immediate = true;
 }
 
-// An attempt has ended at some time before now. Does not restart the limit, as the answer may have been in
-// transit for long.
-void KvHold::attempt_answered(Nanos now) {
-  evidence_.last_answer_at = now;
-  if (!over_) release_.requested = false;
+// Records the response of an attempt, which ended at some time before now. Does not restart the limit, as the
+// response may have been in transit for long.
+void KvHold::response_arrived(Nanos now) {
+  evidence_.last_response_at = now;
+  if (!request_over_) release_.requested = false;
 }
 
 bool KvHold::decode_ended(HoldEvent event, Nanos now, Nanos attempt_written_at) {
@@ -156,23 +159,23 @@
       kv_freed(attempt_written_at);
       return true;
     case HoldEvent::decode_answered:
-      if (may_be_held()) attempt_answered(now);
+      if (may_be_held()) response_arrived(now);
       return true;
     default:  // decode_not_run: the worker never had the complete request
       return true;
   }
 }
 
-// A decode attempt, written at that time, has taken what was held when its answer started. The request's
-// other attempts remain: a prefill that is not over may leave KV cache that no attempt takes, and one that
-// was answered after the decode attempt was written may have ended later.
+// Records that a decode attempt, written at that time, has taken what was held when its stream started. The
+// request's other attempts remain: a prefill that is not over may leave KV cache that no attempt takes, and a
+// prefill whose response arrived after the decode attempt was written may have ended later than that.
 void KvHold::kv_taken(Nanos attempt_written_at) {
-  evidence_ = {.left = evidence_.last_answer_at > attempt_written_at,
-               .since = std::max(evidence_.since, attempt_written_at),
-               .last_answer_at = evidence_.last_answer_at};
+  evidence_ = {.may_be_left = evidence_.last_response_at > attempt_written_at,
+               .earliest_left_at = std::max(evidence_.earliest_left_at, attempt_written_at),
+               .last_response_at = evidence_.last_response_at};
   release_.requested = false;
   release_.wanted_at = kNever;
-  taken_ = !over_;
+  taken_ = !request_over_;
 }
 
 // Events of the request and of its release.
@@ -180,13 +183,13 @@
 bool KvHold::record(HoldEvent event, Nanos now) {
   switch (event) {
     case HoldEvent::release_wanted:
-      if (needs_release() && !over_) release_.wanted_at = now;
+      if (needs_release() && !request_over_) release_.wanted_at = now;
       return true;
     case HoldEvent::request_over:
       request_ended(now);
       return true;
     case HoldEvent::request_gone:
-      if (over_ && std::ranges::all_of(attempts_, &Attempt::lost)) return true;  // already recorded
+      if (request_over_ && std::ranges::all_of(attempts_, &Attempt::lost)) return true;  // already recorded
       for (Attempt& attempt : attempts_)
         if (!attempt.lost) attempt_lost(attempt, now);
       request_ended(now);
@@ -207,54 +210,57 @@
 }
 
 void KvHold::request_ended(Nanos now) {
-  over_ = true;
+  request_over_ = true;
   taken_ = false;
   // No prefill is assumed to be running for a request that needs none.
-  evidence_.since = std::min(evidence_.since, now);
+  evidence_.earliest_left_at = std::min(evidence_.earliest_left_at, now);
   release_.immediate = needs_release();
 }
 
 bool KvHold::release_confirmed(Nanos written_at) {
-  const bool answered_since = evidence_.left && evidence_.last_answer_at > written_at;
+  const bool responded_since = evidence_.may_be_left && evidence_.last_response_at > written_at;
   const bool decode_waits =
       std::ranges::any_of(attempts_, [](const Attempt& a) { return !a.prefill && !a.lost; });
-  release_.confirmed = true;
+  release_.ever_confirmed = true;
   kv_freed(written_at);
-  return !answered_since && !decode_waits && !taken_;
+  return !responded_since && !decode_waits && !taken_;
 }
 
-// Records that nothing held at that time is left: a release, or a decode attempt that found nothing, was
-// written then. Attempts that were over by then have nothing left; those that were not may have waited for
-// the KV cache, or may yet arrive.
+// Records that nothing remains of what was held at that time, when a confirmed release, or a decode attempt
+// that found nothing, was written. Attempts that were over by then hold nothing; others may have waited for
+// the KV cache then, or may still arrive.
 void KvHold::kv_freed(Nanos written_at) {
   std::erase_if(attempts_, [written_at](const Attempt& a) {
     return a.lost && std::min(a.over_at, a.lost_at + kLostAttemptLifetime) <= written_at;
   });
-  for (Attempt& attempt : attempts_) attempt.covered |= attempt.lost && attempt.lost_at <= written_at;
-  release_.requested = release_.immediate = release_.prefill_lost = false;
+  for (Attempt& attempt : attempts_)
+    attempt.released_since_lost |= attempt.lost && attempt.lost_at <= written_at;
+  release_.requested = false;
+  release_.immediate = false;
+  release_.prefill_lost = false;
   release_.wanted_at = kNever;
-  evidence_.since = std::max(evidence_.since, written_at);
-  // An attempt that was answered later may have ended later, and have left KV cache or waited for it.
-  if (evidence_.last_answer_at > written_at) return;
+  evidence_.earliest_left_at = std::max(evidence_.earliest_left_at, written_at);
+  // An attempt whose response arrived later may have ended later, and have left KV cache or waited for it.
+  if (evidence_.last_response_at > written_at) return;
   const bool may_have_waited = std::ranges::any_of(attempts_, [](const Attempt& a) { return !a.prefill; });
-  evidence_.left &= may_have_waited;
-  evidence_.confirmed = false;
+  evidence_.may_be_left &= may_have_waited;
+  evidence_.held_reported = false;
 }
 
 // Evidence from other calls to the same worker.
 
-// Applies to prefills only: a release voids one that is running, so only its request can still arrive. A
-// decode attempt may wait at its worker while its own connection is silent, whatever passes on other
-// connections.
-void KvHold::worker_answered(const WorkerAnswer& answer) {
+// Applies to prefills only: a release voids a prefill that is running, so that only its request may still
+// arrive. A decode attempt may wait at its worker while its own connection is silent, whatever other
+// connections carry.
+void KvHold::worker_answered(const WorkerResponse& response) {
   for (Attempt& attempt : attempts_) {
     if (!attempt.prefill) continue;
-    if (attempt.worker.identity != answer.identity) continue;
-    if (!attempt.lost || answer.call_written_at < attempt.lost_at + kMaxTransitTime) continue;
-    // Bytes lost on a link are retransmitted after at most as long as the link was silent, which was not
-    // before the attempt was written.
-    const Nanos silence = answer.answered_at - attempt.written_at;
-    attempt.over_at = std::min(attempt.over_at, answer.answered_at + silence);
+    if (attempt.worker.identity != response.identity) continue;
+    if (!attempt.lost || response.call_written_at < attempt.lost_at + kMaxTransitTime) continue;
+    // Lost bytes are retransmitted after at most as long as the link was silent, and the silence did not
+    // begin before the attempt was written.
+    const Nanos longest_silence = response.arrived_at - attempt.written_at;
+    attempt.over_at = std::min(attempt.over_at, response.arrived_at + longest_silence);
   }
 }
 
@@ -272,9 +278,10 @@
 }
 
 Nanos KvHold::latest_release_time() const {
-  const Nanos end = evidence_.since + limit_;
-  const Nanos due = evidence_.confirmed ? end - release_lead(limit_) : end + kUnconfirmedReleaseDelay;
-  return std::max(due, evidence_.last_answer_at + kDelayAfterAnswer);
+  const Nanos limit_end = evidence_.earliest_left_at + limit_;
+  const Nanos due =
+      evidence_.held_reported ? limit_end - release_lead(limit_) : limit_end + kUnconfirmedReleaseDelay;
+  return std::max(due, evidence_.last_response_at + kDelayAfterResponse);
 }
 
 Nanos KvHold::wanted_release_time() const {
--- a/src/kv_hold.h
+++ b/src/kv_hold.h
@@ -3,8 +3,8 @@
 //
 // A prefill leaves KV cache behind, which a decode attempt takes or a release frees. It must be freed within
 // a limit that counts while no attempt of the request is outstanding at a running worker. The router sees
-// writes, answers, closed connections and timeouts; only an answer tells what has happened at the worker, and
-// each rule here assumes the worst of what may have happened.
+// writes, responses, closed connections and timeouts. Only a response tells what has happened at the worker,
+// so the worst of what may have happened is assumed.
 //
 // What the events prove:
 //
@@ -13,20 +13,19 @@
 //   a request was written           nothing                            that it arrived: it does not stop the
 //                                                                      limit from counting
 //   a prefill is within its         nothing; it is assumed to be       that it has not ended already
-//   expected time                   running (see assumed_run_time)
-//   a prefill was answered          it has ended, and KV cache is      that it ended just now, as its answer
-//                                   held, unless the answer says that  may have been in transit; anything
-//                                   it never ran                       about other attempts
-//   the head of a prefill's answer  it has ended, and may have left    that the rest arrives
-//   has arrived                     KV cache
-//   a decode attempt was answered   it has ended                       that it ended just now; that the KV
-//                                                                      cache it waited for is gone; anything
+//   assumed run time                running
+//   a prefill's response            the prefill has ended, and KV      that it ended just now, as the
+//                                   cache is held, unless the          response may have been in transit;
+//                                   response says that it never ran    anything about other attempts
+//   the head of a prefill's         the prefill has ended, and may     that the rest arrives
+//   response                        have left KV cache
+//   a decode attempt's error        the attempt has ended              that it ended just now; that the KV
+//   response                                                           cache it waited for is gone; anything
 //                                                                      about other attempts
-//   a decode answer has started     it has taken what was held when    that it is still outstanding; that no
-//                                   it started                         prefill ends later; anything about
+//   a decode attempt's stream has   it has taken what was held when    that it is still outstanding; that no
+//   started                         its stream started                 prefill ends later; anything about
 //                                                                      other attempts
-//   410 to a decode attempt         nothing was held when it arrived   the same as an answer to a decode
-//                                                                      attempt
+//   410 to a decode attempt         nothing was held when it arrived   the same as another error response
 //   the router closed a connection  nothing                            that the attempt has ended
 //   a timeout, a broken connection  nothing: the prefill may have      that the attempt ends at all
 //                                   ended at once
@@ -34,19 +33,20 @@
 //                                   the release arrived is freed, and  later, or that waited then and end
 //                                   each prefill that was running      later
 //                                   leaves nothing
-//   the worker of a lost attempt    a prefill request that has not     that a decode attempt is over: its
-//   has answered a call made after  arrived after as long again will   own connection may be silent alone,
-//   the attempt had time to arrive  not arrive                         and its end may not have arrived
+//   the worker of a lost attempt    a prefill request that does not    that a decode attempt is over: only
+//   has responded to a call made    arrive within as long again will   its own connection may be silent, and
+//   after the attempt had time to   never arrive                       its end may not have arrived
+//   arrive
 //   the worker is gone from the     its attempts are over
 //   worker list
 //
-// No answer therefore restarts the limit; it only delays a release for a moment, so that a further attempt
-// can follow.
+// So no response restarts the limit. It only delays a release for a moment, so that a further attempt can
+// follow.
 //
 // A confirmed release is final only if each earlier attempt was known to be over when the release was
 // written. Otherwise another release follows within the limit, until that is known, for up to 30 s.
 //
-// A worker that hangs answers nothing, so its attempts are never known to be over: releases, which other
+// A worker that hangs responds to nothing, so its attempts are never known to be over: releases, which other
 // workers confirm, are repeated until it leaves the worker list, for up to 30 s.
 #pragma once
 
@@ -61,29 +61,29 @@
   maybe_held,  // something may be held, but no worker has said so
   held,        // a worker has reported that its prefill is done
   releasing,   // a release was requested, and no worker has confirmed it
-  released,    // a worker has confirmed a release, and no attempt is left that may hold anything
-  taken,  // the answer has started, so decode has the KV cache, and no worker has reported that more is held
+  released,    // a worker has confirmed a release, and no attempt remains that may hold anything
+  taken,  // a stream has started, so decode has the KV cache, and no worker has reported that more is held
 };
 
 enum class HoldEvent {
   prefill_written,    // the request of a prefill is about to be written
   prefill_refused,    // the prefill never ran
   prefill_done,       // its worker has reported that it is done
-  prefill_failed,     // its worker gave another answer: it has ended, and may have left KV cache
-  prefill_answered,   // the head of its answer has arrived, but not yet what it says: it has ended
+  prefill_failed,     // its worker gave another response: it has ended, and may have left KV cache
+  prefill_answered,   // the head of its response has arrived, but not yet the rest: it has ended
   prefill_lost,       // it is no longer waited for, and may still run or have ended
   decode_written,     // the request of a decode attempt is about to be written
   decode_not_run,     // the request was never completely sent
-  decode_answered,    // its worker has answered, and has not taken the KV cache
+  decode_answered,    // its worker has responded, and has not taken the KV cache
   decode_lost,        // it is no longer waited for, and may or may not have arrived
-  decode_begun,       // its answer has started
-  cache_missing,      // its worker has answered that the KV cache is gone
+  decode_begun,       // its stream has started, so it has taken the KV cache
+  cache_missing,      // its worker has responded that the KV cache is gone
   release_wanted,     // no outstanding attempt needs what is held, and a further one may follow at once
-  request_over,       // the final answer was given, or the client has left, and no attempt needs what is held
+  request_over,       // the client has its final response or has left, and no attempt needs what is held
   request_gone,       // as request_over, and none of its attempts will report its end any more
   release_asked,      // a release begins
   release_confirmed,  // a worker has confirmed the release (see KvHold::release_confirmed())
-  release_given_up,   // no worker has for so long that whatever was held is lost with its worker
+  release_given_up,   // none has for so long that whatever was held is assumed to be lost with its worker
 };
 
 const char* to_string(HoldState state);
@@ -97,13 +97,14 @@
   bool operator==(const WorkerRef&) const = default;
 };
 
-// A worker's answer to a call, made for any request.
-struct WorkerAnswer {
+// The response of a worker to any call, whichever request the call was made for.
+struct WorkerResponse {
   std::uint64_t identity{};
   Nanos call_written_at{};
-  Nanos answered_at{};
+  Nanos arrived_at{};
 };
 
+// What may be held of one request's KV cache.
 class KvHold {
  public:
   // limit: how long KV cache may be held.
@@ -111,39 +112,39 @@
 
   bool operator==(const KvHold&) const = default;
 
-  // Records an event of an attempt. assumed_run_time: for how long a prefill that is being written is assumed
-  // to run, as an early release would void one that is merely slow. Returns false, and leaves the state
+  // Records an event of an attempt. assumed_run_time: how long a prefill that is being written is assumed to
+  // run, as an early release would void a prefill that is merely slow. Returns false, and leaves the state
   // unchanged, if the event is not possible in this state, which is a defect of the caller.
   bool record_attempt(HoldEvent event, Nanos now, int attempt, WorkerRef worker = {},
                       Nanos assumed_run_time = 0);
   // Records an event of the request or of its release. Returns false as record_attempt() does.
   bool record(HoldEvent event, Nanos now);
   // Records that a worker has confirmed a release that was written at that time. Returns whether a further
-  // decode attempt would find nothing; it may find what an outstanding decode attempt waits for, and what was
-  // left later.
+  // decode attempt would find no KV cache. It may find what an outstanding decode attempt waits for, or
+  // what a prefill has left since.
   bool release_confirmed(Nanos written_at);
-  // Records evidence about attempts from outside their own connections.
-  void worker_answered(const WorkerAnswer& answer);
+  // Record evidence about attempts that comes from outside their own connections.
+  void worker_answered(const WorkerResponse& answer);
   void worker_gone(std::uint64_t identity, Nanos now);
 
   HoldState state() const;
   // Whether KV cache may be held that has to be released unless a decode attempt takes it.
   bool needs_release() const { return may_be_held(); }
   // Whether the request needs no KV cache any more.
-  bool request_over() const { return over_; }
+  bool request_over() const { return request_over_; }
   // When the limit started to count, in the worst case.
-  Nanos limit_started_at() const { return evidence_.since; }
+  Nanos limit_started_at() const { return evidence_.earliest_left_at; }
   // When a release has to begin; kNever: none has to.
   Nanos release_due() const;
-  // Whether to release before a further prefill is written, as a later release would void that prefill's
-  // result too.
+  // Whether a release has to precede a further prefill, as a later release would void that prefill's result
+  // too.
   bool release_precedes_prefill() const {
-    return release_.prefill_lost && !over_ && release_wanted() && needs_release();
+    return release_.prefill_lost && !request_over_ && release_wanted() && needs_release();
   }
   // Whether a release was wanted, and no attempt has been written since.
   bool release_wanted() const { return release_.wanted_at != kNever; }
   // When the limit ends; kNever if no release is needed.
-  Nanos limit_ends() const { return needs_release() ? evidence_.since + limit_ : kNever; }
+  Nanos limit_ends() const { return needs_release() ? evidence_.earliest_left_at + limit_ : kNever; }
   // Calls visit(worker) with the worker of each lost attempt that is not known to be over.
   template <class Visit>
   void for_each_unresolved_worker(Visit visit) const {
@@ -152,7 +153,7 @@
   }
 
  private:
-  static constexpr Nanos kNotAnswered = -1;
+  static constexpr Nanos kNoResponse = -1;
   struct Attempt {
     int number{};
     WorkerRef worker;
@@ -161,24 +162,25 @@
     bool lost{};            // no longer waited for
     Nanos lost_at{};        // when its connection ended
     Nanos over_at{kNever};  // from when on it is known to be over at its worker
-    bool covered{};         // a release was confirmed after it was lost: what it leaves, it leaves later
+    bool
+        released_since_lost{};  // a release written later was confirmed: what it leaves, it leaves after that
     bool operator==(const Attempt&) const = default;
   };
-  // What is known of the KV cache itself.
+  // What is known about the KV cache itself.
   struct Evidence {
-    bool left{};          // a prefill that has ended may have left some
-    bool confirmed{};     // a worker has reported that it holds some, and none that it released it
-    Nanos since{kNever};  // the earliest time at which it can have been left
-    Nanos last_answer_at{kNotAnswered};  // when the latest answer to an attempt that is over arrived
+    bool may_be_left{};    // a prefill that has ended may have left some
+    bool held_reported{};  // a worker has reported that it holds some, and none that it was released
+    Nanos earliest_left_at{kNever};       // the earliest time at which it can have been left
+    Nanos last_response_at{kNoResponse};  // when the latest response of an attempt that is over arrived
     bool operator==(const Evidence&) const = default;
   };
-  // The release that was requested, or will be.
+  // The current release, or the next one.
   struct Release {
     bool requested{};
-    bool immediate{};     // as the request is over
-    bool prefill_lost{};  // a prefill was lost, and no release was confirmed since
-    bool confirmed{};     // a release was confirmed at any time
-    Nanos wanted_at{kNever};
+    bool immediate{};         // due at once, as the request is over or decode has taken what it needs
+    bool prefill_lost{};      // a prefill was lost, and neither a release nor a finished prefill has followed
+    bool ever_confirmed{};    // some release of this request was confirmed
+    Nanos wanted_at{kNever};  // since when no outstanding attempt has needed what is held
     bool operator==(const Release&) const = default;
   };
   void attempt_written(const Attempt& attempt, Nanos assumed_run_time);
@@ -187,21 +189,22 @@
   bool prefill_ended(HoldEvent event, Nanos now);
   bool decode_ended(HoldEvent event, Nanos now, Nanos attempt_written_at);
   bool may_be_held() const;
-  bool may_be_left() const;
+  bool may_have_left_kv() const;
   void prefill_left_kv(Nanos now);
-  void attempt_answered(Nanos now);
+  void response_arrived(Nanos now);
   void kv_taken(Nanos attempt_written_at);
   void kv_freed(Nanos written_at);
   Nanos latest_release_time() const;
   Nanos wanted_release_time() const;
 
   Nanos limit_;
-  // Attempts that were written and, when the latest confirmed release was written, were not known to be over.
+  // Attempts that were written and have not ended, less those that were known to be over when the latest
+  // confirmed release was written.
   std::vector<Attempt> attempts_;
   Evidence evidence_;
   Release release_;
-  bool taken_{};  // decode has what was held, and the request is not over
-  bool over_{};   // the request needs no KV cache any more
+  bool taken_{};         // decode has taken what was held, and the request is not over
+  bool request_over_{};  // the request needs no KV cache any more
 };
 
 }  // namespace cressrill
