--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -17,7 +17,7 @@
 // Sizes on the wire, in bytes.
 constexpr std::size_t kEventSize = 64;
 constexpr std::size_t kListEntrySize = 22;
-constexpr std::size_t kBatchHeadSize = 16;
+constexpr std::size_t kBatchHeaderSize = 16;
 
 // Assigns small indices to ids on the wire. Freed indices are reused, the most recently freed one first.
 template <class Id>
@@ -91,7 +91,8 @@
 
 }  // namespace
 
-// A router instance: translates its events into calls of its policy, and the policy's decisions into records.
+// A router instance: translates event records into calls of its policy, and the policy's decisions into reply
+// records.
 class RouterInstance final : public Actions {
  public:
   RouterInstance(int number, Reply& reply, const DeploymentSettings& deployment, std::uint64_t seed,
@@ -105,8 +106,8 @@
 
   void worker_list(Nanos now, bool complete, const ByteView& entries) {
     policy_->list_begins(now, complete);
-    for (std::size_t at = 0; at < entries.size(); at += kListEntrySize) {
-      const ByteView entry = entries.slice(at, kListEntrySize, "list entry");
+    for (std::size_t offset = 0; offset < entries.size(); offset += kListEntrySize) {
+      const ByteView entry = entries.slice(offset, kListEntrySize, "list entry");
       const auto kind = entry.unsigned_at(17, 1);
       if (kind >= deployment_.settings.kinds.size())
         throw WireError("list entry: machine kind " + std::to_string(kind) + " is not in the settings");
@@ -175,7 +176,8 @@
   void forget_request(int request) override { requests_.forget(request); }
   void forget_worker(int worker) override { workers_.forget(worker); }
 
-  // Makes the next record start with a context record, as other instances may have added records since.
+  // Adds a context record, which names this instance, before its next record, as other instances may add
+  // records in between.
   void require_context() { has_context_ = false; }
 
  private:
@@ -185,11 +187,14 @@
     return reply_.begin_record(code);
   }
 
-  LoadReport read_report(const ByteView& event, std::size_t at) const {
-    const auto count = static_cast<int>(event.unsigned_at(at, 1));
+  // offset: of the number of columns, which the columns follow.
+  LoadReport read_report(const ByteView& event, std::size_t offset) const {
+    const auto count = static_cast<int>(event.unsigned_at(offset, 1));
     LoadReport report;
     report.received = count > 0;
-    const auto column = [&](int i) { return event.f32_at(at + 1 + 4 * static_cast<std::size_t>(i)); };
+    const auto column = [&](int index) {
+      return event.f32_at(offset + 1 + 4 * static_cast<std::size_t>(index));
+    };
     if (deployment_.requests_column >= 0 && deployment_.requests_column < count)
       report.requests = column(deployment_.requests_column);
     if (deployment_.memory_column >= 0 && deployment_.memory_column < count)
@@ -210,31 +215,31 @@
 BatchHandler::~BatchHandler() = default;
 
 std::uint32_t BatchHandler::handle(const std::vector<unsigned char>& frame, Reply& reply) {
-  const ByteView all(frame.data(), frame.size(), "batch");
-  const std::uint64_t count = all.unsigned_at(0, 4);
-  const Nanos now = nanos(all.f64_at(4));
-  const auto batch = static_cast<std::uint32_t>(all.unsigned_at(12, 4));
-  const ByteView records = all.slice(kBatchHeadSize, count * kEventSize, "records of the batch");
-  const ByteView tail =
-      all.slice(kBatchHeadSize + records.size(), all.size() - kBatchHeadSize - records.size(), "tail");
-  int number = -1;  // of the instance that the records are for
-  for (std::uint64_t i = 0; i < count; ++i) {
+  const ByteView bytes(frame.data(), frame.size(), "batch");
+  const std::uint64_t record_count = bytes.unsigned_at(0, 4);
+  const Nanos now = nanos(bytes.f64_at(4));
+  const auto batch_number = static_cast<std::uint32_t>(bytes.unsigned_at(12, 4));
+  const ByteView records = bytes.slice(kBatchHeaderSize, record_count * kEventSize, "records of the batch");
+  const ByteView tail = bytes.slice(kBatchHeaderSize + records.size(),
+                                    bytes.size() - kBatchHeaderSize - records.size(), "tail");
+  int instance_number = -1;  // of the instance that the following records are for
+  for (std::uint64_t i = 0; i < record_count; ++i) {
     const ByteView event = records.slice(i * kEventSize, kEventSize, "record " + std::to_string(i));
     const auto code = event.unsigned_at(0, 2);
-    const auto it = instances_.find(number);
+    const auto it = instances_.find(instance_number);
     RouterInstance* selected = it == instances_.end() ? nullptr : it->second.get();
     const auto instance = [&]() -> RouterInstance& {
       if (selected == nullptr)
         throw WireError("record " + std::to_string(i) + ": event " + std::to_string(code) + " for instance " +
-                        std::to_string(number) + ", which is not running");
+                        std::to_string(instance_number) + ", which is not running");
       return *selected;
     };
     switch (code) {
       case 11:  // selects the instance for the records that follow
-        number = static_cast<int>(event.unsigned_at(2, 2));
+        instance_number = static_cast<int>(event.unsigned_at(2, 2));
         for (auto& [other_number, other] : instances_) other->require_context();
         break;
-      case 4: {  // a worker list, for later use
+      case 4: {  // a worker list, which instances receive later
         const ByteView list =
             tail.slice(event.unsigned_at(3, 4), event.unsigned_at(7, 4) * kListEntrySize, "manifest");
         const std::string_view text = list.text();
@@ -242,14 +247,14 @@
         break;
       }
       case 6: {  // an instance starts
-        if (number < 0)
+        if (instance_number < 0)
           throw WireError("record " + std::to_string(i) + ": power_on before the first at record");
         const ByteView text = tail.slice(event.unsigned_at(10, 4), event.unsigned_at(14, 4), "settings");
-        instances_[number] = std::make_unique<RouterInstance>(number, reply, decode_settings(text.text()),
-                                                              event.unsigned_at(2, 8), now);
+        instances_[instance_number] = std::make_unique<RouterInstance>(
+            instance_number, reply, decode_settings(text.text()), event.unsigned_at(2, 8), now);
         break;
       }
-      case 7: {  // worker list for the instance
+      case 7: {  // the instance receives a worker list, or fails to
         const auto scope = event.unsigned_at(2, 1);
         if (scope > 3) throw WireError("fleet: scope " + std::to_string(scope) + " is not known");
         if (scope == 3) {
@@ -271,16 +276,16 @@
       case 10:  // time passes
         instance().on_wakeup(now);
         break;
-      case 5:  // the head of an attempt's answer arrives
+      case 5:  // the response stream of an attempt starts
         instance().stream_started(now, event);
         break;
       case 2:  // the instance stops
-        instances_.erase(number);
+        instances_.erase(instance_number);
         break;
       case 3:  // an attempt ends
         instance().attempt_ended(now, event);
         break;
-      // Answers to probes and reservations, and messages of other routers: none is requested.
+      // Responses to probes and reservations, and messages from other routers: these policies request none.
       case 1:
       case 12:
       case 13:
@@ -290,7 +295,7 @@
                         " is not known");
     }
   }
-  return batch;
+  return batch_number;
 }
 
 }  // namespace cressrill::simhost
--- a/simhost/host.h
+++ b/simhost/host.h
@@ -1,5 +1,5 @@
-// Hosts the router instances of one process, each with its own Policy. Maps ids on the wire to indices and
-// back.
+// Hosts the router instances of one process, each with its own Policy. Translates ids on the wire to the
+// policy's indices and back.
 #pragma once
 
 #include <map>
@@ -12,6 +12,7 @@
 
 class RouterInstance;
 
+// Passes each record of a batch to the router instance that it is for.
 class BatchHandler {
  public:
   BatchHandler();
