--- a/tests/kv_hold_test.cpp
+++ b/tests/kv_hold_test.cpp
@@ -1,5 +1,5 @@
-// KvHold: what may be held of a request, on which evidence, and when its release is due. Only an answer
-// proves that a request that was written has arrived.
+// KvHold: what may be held of a request, on which evidence, and when its release is due. Only a response
+// proves that a written request has arrived.
 #include "kv_hold.h"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 constexpr Nanos kMs = 1'000'000;
 constexpr Nanos kLimit = 1000 * kMs;
-constexpr Nanos kMaxHeld = kLimit + 300 * kMs;  // by the rule on the hold limit
+constexpr Nanos kMaxHeld = kLimit + 300 * kMs;  // rule 5 tolerates 300 ms past the limit
 constexpr WorkerRef kPrefillWorker{0, 100}, kDecodeWorker{1, 101};
 using Event = HoldEvent;
 
@@ -35,7 +35,8 @@
   CHECK(hold.record_attempt(Event::decode_written, 60 * kMs, 1, kDecodeWorker));
   return hold;
 }
-// Records a confirmed release. decode_waits: it does not free what an outstanding decode attempt waits for.
+// Records a release that is confirmed at once. decode_waits: an outstanding decode attempt waits for what is
+// held, so the release does not free that.
 void release(KvHold& hold, Nanos written_at, bool decode_waits = false) {
   CHECK(hold.record(Event::release_asked, written_at));
   CHECK(hold.release_confirmed(written_at) != decode_waits);
@@ -216,7 +217,7 @@
   CHECK(next_due < 12 * kMs + kMaxHeld);
   SUBCASE("proved over: its worker answered a call made after its request had time to arrive") {
     hold.worker_answered({kPrefillWorker.identity, 500 * kMs, 501 * kMs});
-    release(hold, next_due);  // after as long again as its request may have been in transit
+    release(hold, next_due);  // its request would have arrived by now
     CHECK(hold.state() == HoldState::released);
   }
   SUBCASE("not proved over by a call made while the request was in transit, nor by another worker's answer") {
@@ -256,7 +257,7 @@
   CHECK(hold.limit_started_at() == 45 * kMs);
 }
 
-TEST_CASE("a started answer has taken what was held, and events that cannot follow are rejected") {
+TEST_CASE("a started stream has taken what was held, and events that cannot follow are rejected") {
   KvHold hold = with_decode_outstanding();
   CHECK(hold.record_attempt(Event::decode_begun, 90 * kMs, 1));
   CHECK(hold.state() == HoldState::taken);
@@ -284,8 +285,7 @@
   CHECK(hold.release_due() <= 400 * kMs);
 }
 
-TEST_CASE(
-    "a started answer ends no other attempt: what one leaves later is released while the answer streams") {
+TEST_CASE("a started stream ends no other attempt: what one leaves later is released while the stream runs") {
   KvHold hold = with_prefill_outstanding();
   CHECK(hold.record_attempt(Event::prefill_written, 10 * kMs, 1, {2, 102}));
   CHECK(hold.record_attempt(Event::prefill_done, 50 * kMs, 1));
@@ -342,12 +342,13 @@
   for (int i = 0; i < 6; ++i) {
     const int next = next_release_target(workers).worker;
     auto& candidate = workers[static_cast<std::size_t>(next)];
+    // n: on a new connection, k: on a kept one.
     order += std::to_string(next) + (needs_new_connection(candidate) ? "n " : "k ");
     ++candidate.calls_made;
   }
   CHECK(order == "1k 2k 0k 1n 2n 0n ");
   CHECK(next_release_target({{0, 30, 0}, {1, 10, 0, true}, {2, 20, 0}}).worker ==
-        1);  // its answer would also prove the lost attempt over
+        1);  // its response would also prove the lost attempt over
   CHECK(delay_before_next_call(kLimit, 0) == 25 * kMs);
   CHECK(delay_before_next_call(kLimit, 100) == 800 * kMs);
 }
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -14,7 +14,7 @@
   Trace trace("holder_busy");
   trace.serve(0, 1, 4000);
   for (int request = 1; request <= 4; ++request)
-    trace.arrive(request, 1, 8000);  // the cached prefix outweighs a short queue, not any
+    trace.arrive(request, 1, 8000);  // the cached prefix outweighs a short queue, but not a long one
 }
 
 TEST_CASE("a cached prefix that was gone invalidates the older entries of that prefill worker") {
@@ -112,7 +112,7 @@
     trace.end_attempt(request, 1, Outcome::generated, 0, request == 0 ? 0.2 : 0.9);
   }
   trace.advance_to(5000);
-  for (int request = 2; request < 4; ++request) {  // the nearly empty one is still chosen
+  for (int request = 2; request < 4; ++request) {  // the worker that was nearly empty is still chosen
     trace.prefill(request, 0, 3000, 50);
   }
 }
@@ -183,7 +183,7 @@
 TEST_CASE("with all prefill workers cold, some requests are sent and the rest are rejected early") {
   Trace trace("all_cold", small_settings(), 2, 1);
   trace.advance_to(5000);
-  for (int w = 0; w < 2; ++w) trace.list_worker(w, WorkerStatus::ready, 0, 4000 * kMs);
+  for (int worker = 0; worker < 2; ++worker) trace.list_worker(worker, WorkerStatus::ready, 0, 4000 * kMs);
   for (int request = 0; request < 6; ++request) trace.arrive(request, 0, 1000);
   trace.advance_to(5600);
 }
@@ -250,7 +250,7 @@
   Trace trace("once_only", settings);
   trace.prefill(0, 0, 3000, 100);
   trace.advance_to(150);
-  trace.end_attempt(0, 1, Outcome::full);  // it has not run: another decode worker may get it
+  trace.end_attempt(0, 1, Outcome::full);  // it has not run, so another decode worker may get it
   trace.advance_to(180);
   trace.end_attempt(0, 2, Outcome::error);
   trace.advance_to(200);
@@ -337,8 +337,8 @@
 
 TEST_CASE("a zone with few prefill workers gives its remaining sessions a home in the other zone") {
   Trace trace("uneven_zones", small_settings(), 4, 1);
-  for (int w = 1; w < 4; ++w)
-    trace.list_worker(w, WorkerStatus::ready, 0, 0, 1, 1);  // one prefill worker here, three there
+  for (int worker = 1; worker < 4; ++worker)
+    trace.list_worker(worker, WorkerStatus::ready, 0, 0, 1, 1);  // one prefill worker here, three there
   for (int request = 0; request < 6; ++request)
     trace.serve(request, 90 + static_cast<std::uint64_t>(request), 5000, 4800);
 }
@@ -346,8 +346,8 @@
 TEST_CASE("a cell with few decode workers keeps only its proportional part of its prefilled requests") {
   Trace trace("uneven_cells", small_settings(), 3, 4);
   trace.list_worker(2, WorkerStatus::ready, 0, 0, 1);
-  for (int w = 4; w < 7; ++w)
-    trace.list_worker(w, WorkerStatus::ready, 1, 0,
+  for (int worker = 4; worker < 7; ++worker)
+    trace.list_worker(worker, WorkerStatus::ready, 1, 0,
                       1);  // 2 prefill workers and 1 decode worker; 1 prefill worker and 3 decode workers
   for (int request = 0; request < 8; ++request) trace.serve(request, 0, 3000);
 }
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -1,5 +1,5 @@
-// The simulator's wire protocol: malformed input is rejected with a message that names it, unusual valid
-// input is accepted.
+// The simulator's wire protocol: malformed input is rejected with a message that names the fault, and unusual
+// valid input is accepted.
 #include <doctest/doctest.h>
 
 #include <bit>
@@ -14,9 +14,9 @@
 
 using Frame = std::vector<unsigned char>;
 
-static void put(Frame& to, std::uint64_t value, int width) {
+static void put(Frame& out, std::uint64_t value, int width) {
   for (int shift = (width - 1) * 8; shift >= 0; shift -= 8)
-    to.push_back(static_cast<unsigned char>(value >> shift));
+    out.push_back(static_cast<unsigned char>(value >> shift));
 }
 
 static Frame batch(const std::vector<Frame>& records, const std::string& tail = "", double clock = 1000) {
@@ -65,11 +65,11 @@
         "record 1: event 10 for instance 0, which is not running");
   CHECK(error_of(batch({record(11, {{0, 2}}), power_on(5000)}, kSettings))
             .starts_with("settings: bytes 0 to 5000 lie outside tail"));
-  Frame cut = batch({record(11, {{0, 2}})});
-  cut.resize(40);
-  CHECK(error_of(cut) == "records of the batch: bytes 16 to 80 lie outside batch of 40 bytes");
-  std::istringstream half(std::string("\0\0\0\x20zz", 6));
-  CHECK_THROWS_WITH(read_frame(half, cut), "batch: input ends after 2 of 32 bytes");
+  Frame truncated_batch = batch({record(11, {{0, 2}})});
+  truncated_batch.resize(40);
+  CHECK(error_of(truncated_batch) == "records of the batch: bytes 16 to 80 lie outside batch of 40 bytes");
+  std::istringstream truncated_input(std::string("\0\0\0\x20zz", 6));
+  CHECK_THROWS_WITH(read_frame(truncated_input, truncated_batch), "batch: input ends after 2 of 32 bytes");
 }
 
 TEST_CASE("a missing or malformed setting is rejected with a message that names it") {
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,7 +1,7 @@
-// Rule 4: the load that a cold worker gets from all routers together, summed over policies with independent
-// seeds and no shared state. N is the number of requests that the settings allow it in a window:
-// overload_factor times what it can do. More than N + 2 sqrt(N) + 2 requests count as a violation, as random
-// variation does not explain them.
+// Rule 4: the load that a cold worker gets from all routers together, simulated with one policy per router,
+// which have independent seeds and no shared state. In any window of overload_window, the settings allow a
+// worker N requests: overload_factor times what it can serve. More than N + 2 sqrt(N) + 2 requests are a
+// violation, as random variation does not explain them.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -27,11 +27,11 @@
   std::vector<int> cold;           // workers that are restarted at 10 s
   double traffic_factor{1};        // relative to the usual traffic, from 10 s to 16 s
   double router_weight_factor{1};  // traffic of every tenth router relative to the others
-  double reject_probability{};     // for each attempt
+  double full_probability{};       // that a worker reports being full, for each attempt
 };
 
-// Warm workers have a utilization of 0.6: each can do request_rate / (0.6 * kWorkersPerRole) requests per
-// second.
+// Routers and workers in simulated time. Warm workers have a utilization of 0.6: each can serve
+// request_rate / (0.6 * kWorkersPerRole) requests per second.
 class SimulatedFleet {
  public:
   SimulatedFleet(int routers, const Scenario& scenario, unsigned seed)
@@ -56,8 +56,8 @@
     }
   }
 
-  // Returns the lowest headroom of any cold worker at any time: its budget minus the requests that it
-  // received.
+  // Returns the lowest headroom of any cold worker in any window: the requests that it may receive, minus
+  // those that it received.
   double min_headroom(double request_rate) {
     request_rate_ = request_rate;
     for (auto& router : routers_) router->list(now_, 0);
@@ -72,9 +72,9 @@
         routers_[choose_router(random_)]->add_request(now_, random_());
       for (auto& router : routers_) router->step(now_);
     }
-    double min = 1e9;
-    for (const int worker : scenario_.cold) min = std::min(min, headroom(worker));
-    return min;
+    double lowest = 1e9;
+    for (const int worker : scenario_.cold) lowest = std::min(lowest, headroom(worker));
+    return lowest;
   }
   double rejected_share() const { return static_cast<double>(rejected_) / static_cast<double>(requests_); }
 
@@ -84,20 +84,21 @@
     int request;
     int attempt;
     bool is_prefill;
-    bool rejected;
-    int kind;  // 0: prefill done or attempt rejected, 1: stream starts, 2: stream ends
+    bool worker_full;
+    int kind;  // 0: prefill done or worker full, 1: stream starts, 2: stream ends
   };
   class Router final : public Actions {
    public:
     explicit Router(SimulatedFleet& fleet)
         : fleet_(fleet), policy_(make_policy(fleet.settings_, fleet.policy_seeds_(), 0, *this)) {}
-    void list(Nanos now, Nanos started) {
+    // started_at: when the cold workers started; 0: long ago.
+    void list(Nanos now, Nanos started_at) {
       policy_->list_begins(now, true);
       for (int worker = 0; worker < 2 * kWorkersPerRole; ++worker) {
         const bool cold = std::ranges::find(fleet_.scenario_.cold, worker) != fleet_.scenario_.cold.end();
         policy_->worker_listed(worker, static_cast<std::uint64_t>(worker + 1) * 0x9e3779b97f4a7c15u,
-                               WorkerStatus::ready, cold ? started : 0, worker < kWorkersPerRole ? 0 : 1, 0,
-                               0);
+                               WorkerStatus::ready, cold ? started_at : 0, worker < kWorkersPerRole ? 0 : 1,
+                               0, 0);
       }
       policy_->list_ends();
     }
@@ -116,7 +117,7 @@
     }
     void step(Nanos now) {
       policy_->on_wakeup(now);
-      for (std::size_t n = events_.size(); n-- > 0;) {
+      for (std::size_t remaining = events_.size(); remaining-- > 0;) {
         Event event = events_.front();
         events_.pop_front();
         if (event.at > now) {
@@ -128,7 +129,7 @@
           events_.push_back({now + 1000 * kMs, event.request, event.attempt, false, false, 2});
         if (event.kind != 1)
           policy_->attempt_ended(now, event.request, event.attempt,
-                                 event.rejected     ? Outcome::full
+                                 event.worker_full  ? Outcome::full
                                  : event.is_prefill ? Outcome::prefill_done
                                                     : Outcome::generated,
                                  60 * kMs, event.kind == 2, 0, {});
@@ -138,10 +139,10 @@
       fleet_.received_[static_cast<std::size_t>(worker)].push_back(fleet_.now_);
       const int attempt = attempts_[static_cast<std::size_t>(request)]++;
       const bool is_prefill = worker < kWorkersPerRole;
-      const bool is_rejected =
-          std::bernoulli_distribution(fleet_.scenario_.reject_probability)(fleet_.random_);
-      events_.push_back({fleet_.now_ + 60 * kMs, request, attempt, is_prefill, is_rejected,
-                         is_prefill || is_rejected ? 0 : 1});
+      const bool worker_is_full =
+          std::bernoulli_distribution(fleet_.scenario_.full_probability)(fleet_.random_);
+      events_.push_back({fleet_.now_ + 60 * kMs, request, attempt, is_prefill, worker_is_full,
+                         is_prefill || worker_is_full ? 0 : 1});
     }
     void release(int) override {}
     void cancel(int, int) override {}
@@ -164,21 +165,22 @@
   double headroom(int worker) const {
     const auto& receive_times = received_[static_cast<std::size_t>(worker)];
     const double warm_rate =
-        request_rate_ / (0.6 * kWorkersPerRole);  // requests per second that it can do when warm
-    double min = 1e9;
+        request_rate_ / (0.6 * kWorkersPerRole);  // requests per second that it can serve when warm
+    double lowest = 1e9;
     for (Nanos window_end = 10'000 * kMs; window_end <= 22'000 * kMs; window_end += 50 * kMs) {
       const Nanos window_start = std::max<Nanos>(10'000 * kMs, window_end - settings_.overload_window);
       double allowed = 0;
-      for (Nanos t = window_end - settings_.overload_window; t < window_end; t += 50 * kMs) {
-        const double ramp_position = std::clamp(static_cast<double>(t - 10'000 * kMs) / 12e9, 0.0, 1.0);
+      for (Nanos time = window_end - settings_.overload_window; time < window_end; time += 50 * kMs) {
+        const double ramp_position = std::clamp(static_cast<double>(time - 10'000 * kMs) / 12e9, 0.0, 1.0);
         allowed +=
             settings_.overload_factor * (0.25 + 0.75 * ramp_position * ramp_position) * warm_rate * 0.05;
       }
       const auto received_requests = std::ranges::count_if(
           receive_times, [&](Nanos at) { return at >= window_start && at < window_end; });
-      min = std::min(min, allowed + 2 * std::sqrt(allowed) + 2 - static_cast<double>(received_requests));
+      lowest =
+          std::min(lowest, allowed + 2 * std::sqrt(allowed) + 2 - static_cast<double>(received_requests));
     }
-    return min;
+    return lowest;
   }
 
   Scenario scenario_;
@@ -201,7 +203,7 @@
     {"several workers cold at once", {0, 1, 2, 3, 4, 10, 11, 12, 13, 14}, 1.5, 4},
     {"all prefill workers cold", {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 1.5},
     {"all decode workers cold", {10, 11, 12, 13, 14, 15, 16, 17, 18, 19}, 1.5},
-    {"a fifth of the attempts is rejected and retried", {3, 13}, 1.5, 1, 0.2},
+    {"a fifth of the attempts finds its worker full and is retried", {3, 13}, 1.5, 1, 0.2},
 };
 
 }  // namespace
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -26,7 +26,8 @@
   settings.routers = 1;
   settings.tick = 2 * kMs;
   settings.max_attempts = 6;
-  settings.can_cancel = settings.allow_parallel_attempts = true;
+  settings.can_cancel = true;
+  settings.allow_parallel_attempts = true;
   settings.max_retry_after = 500 * kMs;
   settings.kv_hold_limit = 500 * kMs;
   settings.cold_start_capacity = 0.25;
@@ -36,15 +37,17 @@
   return settings;
 }
 
+// A policy with simulated workers, and the text of what went into it and came out of it. The destructor
+// compares the text with the file.
 class Trace final : public Actions {
  public:
   explicit Trace(std::string name, const PolicySettings& settings = small_settings(), int prefill_workers = 2,
                  int decode_workers = 2)
       : name_(std::move(name)), policy_(make_policy(settings, 7, 0, *this)) {
     policy_->list_begins(0, true);
-    for (int w = 0; w < prefill_workers + decode_workers; ++w)
-      policy_->worker_listed(w, static_cast<std::uint64_t>(w), WorkerStatus::ready, 0,
-                             w < prefill_workers ? 0 : 1, settings.zone, 0);
+    for (int worker = 0; worker < prefill_workers + decode_workers; ++worker)
+      policy_->worker_listed(worker, static_cast<std::uint64_t>(worker), WorkerStatus::ready, 0,
+                             worker < prefill_workers ? 0 : 1, settings.zone, 0);
     policy_->list_ends();
   }
   ~Trace() override {
@@ -57,18 +60,18 @@
   }
 
   // Lets time pass, with a wakeup every 10 ms, as the policy requests.
-  void advance_to(int ms) {
-    while (now_ + 10 * kMs <= ms * kMs) {
+  void advance_to(int time_ms) {
+    while (now_ + 10 * kMs <= time_ms * kMs) {
       now_ += 10 * kMs;
       policy_->on_wakeup(now_);
     }
-    now_ = ms * kMs;
+    now_ = time_ms * kMs;
   }
-  void arrive(int request, std::uint64_t session, double prompt_tokens, int deadline_in_ms = 6000,
+  void arrive(int request, std::uint64_t session, double prompt_tokens, int ms_to_deadline = 6000,
               std::uint64_t prefix_hash = 0, double prefix_tokens = 0, int type = 0, int tenant = 0) {
     line() << "sequence " << request << " came: " << prompt_tokens << " tokens, session " << session << '\n';
     policy_->request_arrived(now_, request, type, tenant, session, prefix_hash, prompt_tokens, prefix_tokens,
-                             200, now_ + deadline_in_ms * kMs);
+                             200, now_ + ms_to_deadline * kMs);
   }
   void end_attempt(int request, int attempt, Outcome outcome, double cached_tokens = 0,
                    double memory_share = -1, double requests = -1) {
@@ -101,10 +104,11 @@
     policy_->worker_listed(worker, static_cast<std::uint64_t>(worker), status, started_at, kind, zone, cell);
     policy_->list_ends();
   }
-  // A request arrives and its prefill ends, so that its decode worker is chosen.
-  void prefill(int request, std::uint64_t session, double prompt_tokens, int ms, double cached_tokens = 0) {
+  // A request arrives and its prefill ends after that time, so that its decode worker is chosen.
+  void prefill(int request, std::uint64_t session, double prompt_tokens, int prefill_ms,
+               double cached_tokens = 0) {
     arrive(request, session, prompt_tokens);
-    advance_to(now_ms() + ms);
+    advance_to(now_ms() + prefill_ms);
     end_attempt(request, 0, Outcome::prefill_done, cached_tokens);
   }
   // Serves a request completely, in 150 ms, at whichever workers the policy chooses.
@@ -126,8 +130,8 @@
   void cancel(int request, int attempt) override {
     line() << "  cancel " << request << "." << attempt << '\n';
   }
-  void reject(int request, Nanos after) override {
-    line() << "  reject " << request << (after > 0 ? ", come back later" : "") << '\n';
+  void reject(int request, Nanos retry_after) override {
+    line() << "  reject " << request << (retry_after > 0 ? ", come back later" : "") << '\n';
   }
   void abort(int request) override { line() << "  abort " << request << '\n'; }
   void subscribe() override { line() << "  subscribe\n"; }
@@ -136,6 +140,7 @@
   void forget_worker(int worker) override { line() << "  forget worker " << worker << '\n'; }
 
  private:
+  // Begins a line with the time.
   std::ostream& line() { return text_ << now_ / kMs << " ms: "; }
   std::string name_;
   std::ostringstream text_;
