--- a/src/kv_hold.h
+++ b/src/kv_hold.h
@@ -124,7 +124,7 @@
   // what a prefill has left since.
   bool release_confirmed(Nanos written_at);
   // Record evidence about attempts that comes from outside their own connections.
-  void worker_answered(const WorkerResponse& answer);
+  void worker_answered(const WorkerResponse& response);
   void worker_gone(std::uint64_t identity, Nanos now);
 
   HoldState state() const;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -82,8 +82,8 @@
 constexpr double kFirstTokenShareOfSlo = 0.5;
 // Weight of a new sample in the latency pressure: several streams move it noticeably, a single one does not.
 constexpr double kPressureSampleWeight = 0.2;
-// Number of prefill workers that cache the same prefix: enough for the load of a popular prefix, and few
-// enough that all prefixes stay cached.
+// Average number of prefill workers per zone that cache the same prefix: enough for the load of a popular
+// prefix, and few enough that all prefixes stay cached.
 constexpr double kPrefixReplicas = 8;
 // Share of the tokens beyond the shared prefix that a session's home worker is expected to have cached.
 constexpr double kHomeCachedShare = 0.8;
@@ -95,7 +95,9 @@
 constexpr double kColdBudgetShare = 0.5;
 
 double seconds(Nanos duration) { return static_cast<double>(duration) / static_cast<double>(kSecond); }
-Nanos nanos(double duration) { return static_cast<Nanos>(duration * static_cast<double>(kSecond)); }
+Nanos nanos(double duration_seconds) {
+  return static_cast<Nanos>(duration_seconds * static_cast<double>(kSecond));
+}
 double decay(Nanos elapsed, Nanos decay_time = kLearningDecayTime) {
   return std::exp(-seconds(elapsed) / seconds(decay_time));
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,6 +1,6 @@
 // Rule 4: the load that a cold worker gets from all routers together, simulated with one policy per router,
-// which have independent seeds and no shared state. In any window of overload_window, the settings allow a
-// worker N requests: overload_factor times what it can serve. More than N + 2 sqrt(N) + 2 requests are a
+// which have independent seeds and no shared state. In any window of overload_window, the settings allow it
+// N requests: overload_factor times what it can serve. More than N + 2 sqrt(N) + 2 requests are a
 // violation, as random variation does not explain them.
 #include <doctest/doctest.h>
 
