--- a/router/fleet.cpp
+++ b/router/fleet.cpp
@@ -16,8 +16,8 @@
 }
 
 // Connections reserved for releases, within the configured limits: one in kConnectionsPerReserved of those to
-// all workers, and kReservedPerWorker of those to each worker. A limit below kMinSharedLimit has none to
-// spare.
+// all workers, up to kMaxReservedForAll, and kReservedPerWorker of those to each worker. A limit below
+// kMinSharedLimit is too small to reserve any.
 constexpr std::size_t kConnectionsPerReserved = 8;
 constexpr std::size_t kMaxReservedForAll = 8;
 constexpr std::size_t kReservedPerWorker = 1;
@@ -35,9 +35,11 @@
 
 Fleet::Fleet(io::Loop& loop, const core::RouterConfig& config, core::Log& log)
     : loop_(loop), config_(config), log_(log) {
-  const std::size_t limit = config.max_engine_connections > 0 ? config.max_engine_connections
-                                                              : std::numeric_limits<std::size_t>::max();
-  connection_budget_ = std::make_shared<http::ConnectionBudget>(limit, reserved_for_all(limit));
+  const std::size_t max_connections = config.max_engine_connections > 0
+                                          ? config.max_engine_connections
+                                          : std::numeric_limits<std::size_t>::max();
+  connection_budget_ =
+      std::make_shared<http::ConnectionBudget>(max_connections, reserved_for_all(max_connections));
 }
 
 Role Fleet::role(int worker) const {
@@ -86,19 +88,20 @@
   return &entry;
 }
 
-// Whether an entry would make a worker ready again that is known to be draining or gone, although its list
-// does not reflect that change yet. This happens when another discovery agent lags behind the previous one or
-// a list arrives late; accepting the entry would break rule 3 (no new requests to draining workers).
+// Whether an entry lists a worker as ready only because its list is older than the one that reported the worker
+// as draining or gone. This happens when another discovery agent lags behind the previous one or a list arrives
+// late; accepting the entry would break rule 3 (no new requests to draining workers).
 bool Fleet::is_stale_ready(const core::WorkerList& list, const core::ListedWorker& listed,
                            const WorkerEntry& entry) const {
   if (listed.status != WorkerStatus::ready || entry.not_ready_since == 0) return false;
   if (listed.started_at != entry.listed.started_at || entry.not_ready_source == 0) return false;
-  const bool is_aware = list.source == entry.not_ready_source || list.version > source_first_version_;
-  return !is_aware || list.version <= entry.not_ready_version;
+  const bool source_knows_change =
+      list.source == entry.not_ready_source || list.version > source_first_version_;
+  return !source_knows_change || list.version <= entry.not_ready_version;
 }
 
 // A start time other than the known one is a restart, even if the wall clock places it earlier. The exception
-// is a list from an agent that lags behind the previous one and names an old start.
+// is a list from an agent that lags behind the previous one and reports an older start.
 void Fleet::record_start(const core::WorkerList& list, std::int64_t start_time, WorkerEntry& entry) {
   if (start_time == 0 || start_time == entry.listed.started_at) return;
   const bool lags = list.source != entry.start_source && list.version <= entry.start_version;
@@ -131,7 +134,7 @@
   for (const core::ListedWorker& listed : list.workers) {
     int index = -1;
     if (listed.status == WorkerStatus::gone && !index_by_name_.contains(listed.name))
-      continue;  // never known, or forgotten
+      continue;  // unknown, or already forgotten
     const WorkerEntry* entry = update_entry(list, listed, index);
     if (entry == nullptr) continue;
     policy.worker_listed(index, entry->identity, entry->listed.status, entry->started_at, entry->kind,
@@ -143,12 +146,12 @@
   policy.list_ends();
 }
 
-// Marks the workers that a complete list does not name as gone.
+// Marks as gone the workers that a complete list does not contain.
 void Fleet::mark_unlisted_gone(const core::WorkerList& list) {
-  std::unordered_set<std::string_view> named;
-  for (const core::ListedWorker& listed : list.workers) named.insert(listed.name);
+  std::unordered_set<std::string_view> listed_names;
+  for (const core::ListedWorker& listed : list.workers) listed_names.insert(listed.name);
   for (auto& entry : entries_)
-    if (entry && !named.contains(entry->listed.name)) update_status(list, WorkerStatus::gone, *entry);
+    if (entry && !listed_names.contains(entry->listed.name)) update_status(list, WorkerStatus::gone, *entry);
 }
 
 void Fleet::forget(int worker) {
--- a/router/fleet.h
+++ b/router/fleet.h
@@ -17,26 +17,26 @@
 
 namespace cressrill::router {
 
-// A worker as listed last, with its connections. All times are on the monotonic clock.
+// A worker as listed last, and its connections. All times are on the monotonic clock.
 struct WorkerEntry {
   core::ListedWorker listed;
   int kind{};
   int zone{};
   int cell{};
-  std::uint64_t identity{};
-  io::Nanos not_ready_since{};           // when it was first listed as draining or gone; 0: it is ready
-  std::uint64_t not_ready_version{};     // version of the list that said so
-  int not_ready_source{};                // discovery agent that sent that list
-  io::Nanos started_at{};                // 0: unknown, long ago
-  std::uint64_t start_version{};         // version of the list that named this start
-  int start_source{};                    // discovery agent that sent that list
-  io::Nanos last_heard{};                // when its latest response was received
-  io::Nanos answered_call_written_at{};  // when the latest call that it has answered was written
+  std::uint64_t identity{};               // hash of its name
+  io::Nanos not_ready_since{};            // when it was first listed as draining or gone; 0: it is ready
+  std::uint64_t not_ready_version{};      // version of the list that first reported it so
+  int not_ready_source{};                 // discovery agent that sent that list
+  io::Nanos started_at{};                 // 0: unknown, long ago
+  std::uint64_t start_version{};          // version of the list that reported this start
+  int start_source{};                     // discovery agent that sent that list
+  io::Nanos last_heard{};                 // when its latest response was received
+  io::Nanos responded_call_written_at{};  // when the latest call that it has responded to was written
   std::shared_ptr<http::Pool> pool;  // shared with attempts, which keep the pool of a former address alive
 
-  void record_answer(io::Nanos call_written_at, io::Nanos now) {
+  void record_response(io::Nanos call_written_at, io::Nanos now) {
     last_heard = now;
-    answered_call_written_at = std::max(answered_call_written_at, call_written_at);
+    responded_call_written_at = std::max(responded_call_written_at, call_written_at);
   }
 };
 
@@ -46,22 +46,22 @@
   Fleet(io::Loop& loop, const core::RouterConfig& config, core::Log& log);
   // Applies a list and passes it on to the policy. Invalid entries are logged and skipped.
   void apply_list(const core::WorkerList& list, Policy& policy);
-  // Discovery has confirmed that the current list is up to date.
+  // Records that discovery has confirmed the current list as up to date.
   void confirm_current() { start_times_.record_current(loop_.now()); }
   WorkerEntry& at(int worker) { return *entries_[static_cast<std::size_t>(worker)]; }
   const WorkerEntry& at(int worker) const { return *entries_[static_cast<std::size_t>(worker)]; }
   // Null if that worker was forgotten.
   const WorkerEntry* find(int worker) const { return entries_[static_cast<std::size_t>(worker)].get(); }
-  // Removes a worker that is gone for good; its index is reused.
+  // Removes a worker that will not be listed again; its index is reused.
   void forget(int worker);
   // Workers that are listed as ready.
   std::vector<int> ready_workers() const;
-  // Workers that are listed as ready or draining, so that their processes should be running.
+  // Workers that are listed as ready or draining, whose processes should be running.
   std::vector<int> running_workers() const;
   // By index; null where a worker was forgotten.
   const std::vector<std::unique_ptr<WorkerEntry>>& entries() const { return entries_; }
   Role role(int worker) const;
-  // The complete list as it is known now.
+  // The complete list of the workers that are not gone.
   core::WorkerList current_list() const;
 
  private:
@@ -76,7 +76,7 @@
   core::Log& log_;
   StartTimes start_times_;
   std::uint64_t list_version_{};
-  int list_source_{};                                          // agent that sent the latest list
+  int list_source_{};                                          // discovery agent that sent the latest list
   std::uint64_t source_first_version_{};                       // version of the first list from that agent
   std::shared_ptr<http::ConnectionBudget> connection_budget_;  // shared by the pools of all workers
   std::vector<std::unique_ptr<WorkerEntry>> entries_;
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -11,6 +11,7 @@
 constexpr std::size_t kMaxBufferedResponseBytes = 8 * 1024 * 1024;
 constexpr int kMaxInformationalResponses = 16;  // 1xx responses ahead of the final one
 
+// Names used in logs and metrics; some differ from the enumerators.
 const char* to_string(Outcome outcome) {
   static constexpr const char* names[] = {"generated", "read",      "error",          "full",
                                           "no_state",  "timed_out", "connect_failed", "connection_lost",
@@ -18,15 +19,15 @@
   return names[static_cast<int>(outcome)];
 }
 
-// The outcome of a response that was cut off or could not be parsed. The attempt may have run in both cases,
+// The outcome of a response that was truncated or could not be parsed. The attempt may have run in both cases,
 // but only the first counts as a lost connection.
 Outcome outcome_of_error(http::MessageError error) {
-  const bool cut = error == http::MessageError::none || error == http::MessageError::closed;
-  return cut ? Outcome::connection_lost : Outcome::error;
+  const bool truncated = error == http::MessageError::none || error == http::MessageError::closed;
+  return truncated ? Outcome::connection_lost : Outcome::error;
 }
 
-// What the end of an attempt implies for the KV cache that is held. Without a response, a request that was
-// written completely may have arrived.
+// The KV cache event that the end of an attempt implies. may_have_arrived: enough of its request was written
+// that it may have arrived and run, even without a response.
 HoldEvent hold_event(bool is_prefill, Outcome outcome, bool response_received, bool may_have_arrived) {
   switch (outcome) {
     case Outcome::prefill_done:
@@ -35,8 +36,8 @@
       return is_prefill ? HoldEvent::prefill_failed : HoldEvent::cache_missing;
     case Outcome::full:
       return is_prefill ? HoldEvent::prefill_refused : HoldEvent::decode_answered;
-    // An attempt whose request the worker found invalid ends as generated too, as the client gets that
-    // answer. It does not prove that nothing has run.
+    // A request that the worker found invalid also ends as generated, as the client gets the worker's error
+    // response. That response does not prove that nothing has run.
     case Outcome::generated:
       return is_prefill ? HoldEvent::prefill_failed : HoldEvent::decode_answered;
     default:
@@ -66,8 +67,8 @@
       traits_(protocol.traits()),
       invariants_(log, counters),
       fleet_(loop, config, log),
-      traces_(loop, log, fleet_),
-      releaser_(loop, fleet_, log, counters, invariants_, traces_, config.settings.kv_hold_limit,
+      trace_writer_(loop, log, fleet_),
+      releaser_(loop, fleet_, log, counters, invariants_, trace_writer_, config.settings.kv_hold_limit,
                 [this](const KvLease& lease) { handle_kv_released(lease); }),
       input_queued_(loop),
       policy_(create_policy(config.settings, seed, loop.now(), *this)),
@@ -92,8 +93,8 @@
   input_queued_.notify();
 }
 
-// An exception from the policy leaves its state undefined: the process terminates (deliver_or_terminate() is
-// noexcept) and is restarted.
+// An exception from the policy leaves the policy's state undefined, so it terminates the process
+// (deliver_or_terminate() is noexcept), which is then restarted.
 io::Task<> Host::process_inputs() {
   for (;;) {
     co_await input_queued_.wait();
@@ -120,7 +121,7 @@
       break;
   }
   ActiveRequest& request = *input.request;
-  if (requests_[static_cast<std::size_t>(request.index)].get() != &request) return;  // forgotten meanwhile
+  if (requests_[static_cast<std::size_t>(request.index)].get() != &request) return;  // forgotten since then
   switch (input.kind) {
     case Input::Kind::arrived:
       policy_->request_arrived(now, request.index, request.info.type, request.info.tenant,
@@ -130,15 +131,14 @@
     case Input::Kind::client_left:
       report_request_over(request);
       policy_->client_left(now, request.index);
-      // A stream without a reader is ended here: the policy cannot cancel an attempt once its stream has
-      // started.
+      // The stream is ended here, as the policy cannot cancel an attempt whose stream has started.
       if (request.streaming_attempt >= 0) end_attempt(request, request.streaming_attempt, Outcome::cancelled);
       break;
     case Input::Kind::stream_started: {
       const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(input.attempt_index)];
       record_kv_event(request, HoldEvent::decode_begun, input.attempt_index);
-      // The decode worker has fetched the KV cache; what other prefills left for this request is no longer
-      // needed.
+      // The decode worker has fetched the KV cache of its source. What other prefills of this request left is
+      // no longer needed.
       for (std::size_t i = 0; i < request.attempts.size(); ++i) {
         if (static_cast<int>(i) == attempt.kv_source) request.attempts[i]->holds_kv = false;
         if (request.attempts[i]->holds_kv && !traits_.single_release)
@@ -170,7 +170,7 @@
   if (!attempt.outstanding) return;
   attempt.outstanding = false;
   attempt.scope.cancel();
-  add_trace(request, TraceStep::ended, input.attempt_index, to_string(input.outcome));
+  add_trace_entry(request, TraceStep::ended, input.attempt_index, to_string(input.outcome));
   if (attempt.write_started && !attempt.stream_started) {
     const bool may_have_arrived =
         attempt.fully_written || (attempt.write_started && !traits_.partial_request_never_runs);
@@ -183,7 +183,7 @@
                 input.outcome == Outcome::generated ? RequestOutcome::generated : RequestOutcome::broken);
   else if (request.engine_refused && request.outcome == RequestOutcome::none)
     set_outcome(request, RequestOutcome::engine_refused);
-  // A prefill that is no longer awaited may leave KV cache behind that nothing would report.
+  // A prefill that is no longer awaited may leave KV cache that no response would report.
   if (!traits_.single_release && attempt.is_prefill &&
       (input.outcome == Outcome::cancelled || input.outcome == Outcome::timed_out))
     release_prefill(request, input.attempt_index);
@@ -226,7 +226,7 @@
                                         : request->deadline;
   attempt.write_deadline = limits.write_deadline;
   attempt.assumed_run_time = limits.assumed_run_time;
-  add_trace(*request, TraceStep::decided, attempt_index, attempt.is_prefill ? "prefill" : "decode");
+  add_trace_entry(*request, TraceStep::decided, attempt_index, attempt.is_prefill ? "prefill" : "decode");
   if (!attempt.is_prefill && request->last_kv_attempt >= 0 &&
       request->attempts[static_cast<std::size_t>(request->last_kv_attempt)]->holds_kv)
     attempt.kv_source = request->last_kv_attempt;
@@ -235,7 +235,7 @@
 }
 
 void Host::release(int request_index) {
-  // Where a single release frees everything, the KvHold of the request's lease decides when it is sent.
+  // With a single release per request, the KvHold of the request's lease decides when it is sent.
   if (traits_.single_release)
     return record_kv_event(*requests_[static_cast<std::size_t>(request_index)], HoldEvent::release_wanted);
   ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
@@ -257,7 +257,7 @@
 void Host::reject(int request_index, Nanos retry_after) {
   ActiveRequest& request = *requests_[static_cast<std::size_t>(request_index)];
   request.retry_after = retry_after;
-  // Once a stream has started, it is the response.
+  // A stream that has started is the client's response and cannot be replaced by a rejection.
   if (request.streaming_attempt < 0) set_outcome(request, RequestOutcome::rejected);
 }
 
@@ -292,11 +292,11 @@
   if (request.outcome != RequestOutcome::none) return;
   request.outcome = outcome;
   request.updated.notify();
-  add_trace(request, TraceStep::settled, -1, to_string(outcome));
+  add_trace_entry(request, TraceStep::settled, -1, to_string(outcome));
   report_request_over(request);
   if (outcome != RequestOutcome::generated && outcome != RequestOutcome::engine_refused &&
       !request.attempts.empty())
-    traces_.write(request.info.id, request.kv->trace, "not served after attempts");
+    trace_writer_.write(request.info.id, request.kv_lease->trace, "not served after attempts");
   counters_.count_answer(type_name(request), to_string(outcome));
   log_.info("answered", {{"sequence", request.info.id},
                          {"answer", to_string(outcome)},
@@ -350,21 +350,21 @@
   if (!attempt.stream_started) end_attempt(*request, attempt_index, Outcome::timed_out);
 }
 
-// A started stream has no deadline, but one without events for the stall timeout counts as broken, as its
-// engine hangs. This runs from the first event on, since the attempt's own deadline may be far off. While the
-// client is the slower side the stream is not read, which says nothing about the engine; a client that
-// accepts no data at all is disconnected by the server (http::Server::set_write_stall_timeout()).
+// A started stream has no deadline, but counts as broken once it has had no event for the stall timeout, as its
+// engine hangs. Runs from the first event on, as the attempt's own deadline may be far off. Time while reading
+// is paused for a slow client does not count, as it says nothing about the engine; a client that accepts no
+// data at all is disconnected by the server (http::Server::set_write_stall_timeout()).
 io::Task<> Host::enforce_stall_timeout(std::shared_ptr<ActiveRequest> request, int attempt_index) {
   const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
   for (;;) {
-    const io::Nanos from = attempt.paused_for_client ? loop_.now() : attempt.last_event_at;
-    if (loop_.now() - from >= config_.stall_timeout) break;
-    co_await loop_.sleep_until(from + config_.stall_timeout);
+    const io::Nanos idle_since = attempt.paused_for_client ? loop_.now() : attempt.last_event_at;
+    if (loop_.now() - idle_since >= config_.stall_timeout) break;
+    co_await loop_.sleep_until(idle_since + config_.stall_timeout);
   }
   end_attempt(*request, attempt_index, Outcome::connection_lost);
 }
 
-// Runs work and turns an exception into the end of this attempt alone.
+// Runs work. An exception from it ends this attempt alone.
 io::Task<> Host::run_contained(std::shared_ptr<ActiveRequest> request, int attempt_index, io::Task<> work) {
   std::exception_ptr thrown;
   try {
@@ -387,9 +387,9 @@
       co_return end_attempt(*request, attempt_index,
                             lease.at_capacity() ? Outcome::not_sent : Outcome::connect_failed);
     attempt.connection_idle_time = lease->reused ? lease->idle_time : -1;
-    add_trace(*request, TraceStep::connected, attempt_index);
-    if (attempt.is_prefill && request->kv->hold.release_precedes_prefill())
-      co_await releaser_.await_release_before_prefill(request->kv.shared());
+    add_trace_entry(*request, TraceStep::connected, attempt_index);
+    if (attempt.is_prefill && request->kv_lease->hold.release_precedes_prefill())
+      co_await releaser_.await_release_before_prefill(request->kv_lease.shared());
     if (!may_begin(*request, attempt)) co_return end_attempt(*request, attempt_index, Outcome::not_sent);
     // Recorded before the first byte is written: from then on the worker may hold KV cache.
     attempt.write_started_at = loop_.now();
@@ -397,10 +397,11 @@
       record_kv_event(*request, attempt.is_prefill ? HoldEvent::prefill_written : HoldEvent::decode_written,
                       attempt_index);
     const io::IoResult result = co_await write_request(*request, attempt_index, *lease);
-    add_trace(*request, TraceStep::written, attempt_index, result.ok() ? "whole" : "in part", result.bytes);
+    add_trace_entry(*request, TraceStep::written, attempt_index, result.ok() ? "whole" : "in part",
+                    result.bytes);
     if (!result.ok()) {
-      // If nothing was written, a reused connection was stale and another one is made. Otherwise the attempt
-      // may be running.
+      // If nothing was written on a reused connection, it was stale, and the write is repeated on another one.
+      // If part of the request was written, the attempt may be running.
       if (result.bytes == 0 && lease->reused) continue;
       if (result.bytes > 0) lease.record_loss();
       const bool not_run = result.bytes == 0 || traits_.partial_request_never_runs;
@@ -415,10 +416,10 @@
       error = co_await lease->reader->read_head(head);
     attempt.response_received = error != http::MessageError::closed;
     if (attempt.response_received) {
-      worker.record_answer(attempt.write_started_at, loop_.now());
-      add_trace(*request, TraceStep::answered, attempt_index);
+      worker.record_response(attempt.write_started_at, loop_.now());
+      add_trace_entry(*request, TraceStep::answered, attempt_index);
     }
-    // A response that cannot be parsed still shows that the connection works.
+    // Even a response that cannot be parsed shows that the connection works.
     error == http::MessageError::closed ? lease.record_loss() : lease.record_response();
     if (error != http::MessageError::none)
       co_return end_attempt(*request, attempt_index, outcome_of_error(error));
@@ -461,14 +462,14 @@
   return false;
 }
 
-// Checks after the write that the margins of check_begin() covered any delay of this process since then.
-// timeout: the time limit that was sent to the worker.
+// Checks, after the write, that the margins of check_begin() have covered the delay between that check and the
+// write. timeout: the time limit that was sent to the worker.
 void Host::check_begin_invariants(const ActiveRequest& request, const ActiveAttempt& attempt,
                                   io::Nanos timeout) {
   using core::Invariant;
   constexpr io::Nanos kClientLeftSlack = 100 * io::kMs;
   constexpr io::Nanos kBudgetSlack = 150 * io::kMs;
-  // The policy sets the write deadline 120 ms before the end of the window.
+  // The policy sets the write deadline 120 ms before the end of the worker's deduplication window.
   constexpr io::Nanos kWindowSlack = 50 * io::kMs + 120 * io::kMs;
   const BeginConditions conditions = begin_conditions(request, attempt);
   const auto check = [&](Invariant invariant, io::Nanos overrun) {
@@ -492,14 +493,14 @@
 
 AttemptInfo Host::attempt_info(const ActiveRequest& request, int attempt_index) const {
   const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
-  // The clock is read just before the write: a time limit computed earlier would exceed what the client has
-  // left.
-  const io::Nanos until = std::min(attempt.deadline, request.deadline - response_margin());
+  // The clock is read just before the write: a time limit computed earlier would exceed the client's
+  // remaining time.
+  const io::Nanos response_due = std::min(attempt.deadline, request.deadline - response_margin());
   AttemptInfo info{attempt_index,
                    attempt.is_prefill,
                    fleet_.at(attempt.worker).listed.address,
                    {},
-                   until - loop_.update_now()};
+                   response_due - loop_.update_now()};
   if (attempt.kv_source >= 0)
     info.kv_transfer_params =
         request.attempts[static_cast<std::size_t>(attempt.kv_source)]->kv_transfer_params;
@@ -539,11 +540,11 @@
   end_attempt(request, attempt_index, meaning.outcome, meaning.cached_tokens, report);
 }
 
-// Relays a response stream to the client's outbox. Returns true when the stream ended properly.
+// Relays a response stream to the client's outbox. Returns whether the stream was complete.
 io::Task<bool> Host::relay_stream(ActiveRequest& request, int attempt_index, http::Connection& connection,
                                   const LoadReport& initial_report) {
   ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
-  http::SseParser events;
+  http::SseParser sse_parser;
   LoadReport report = initial_report;
   double cached_tokens = 0;
   bool last_event_received = false;
@@ -552,9 +553,9 @@
     std::span<const std::string_view> pieces;
     error = co_await connection.reader->read_body_pieces(pieces);
     for (const std::string_view piece : pieces) {
-      events.feed(piece);
-      while (const auto data = events.next()) {
-        // Only complete events count as progress: a partial line followed by nothing is a stalled stream.
+      sse_parser.feed(piece);
+      while (const auto data = sse_parser.next()) {
+        // Only a complete event counts as progress, so that a stream that stops within an event is stalled.
         attempt.last_event_at = loop_.now();
         const StreamEvent event = request.exchange().interpret_event(*data, attempt.stream_started);
         if (!event.readable || request.exchange().buffered_bytes() > kMaxBufferedResponseBytes) {
@@ -587,17 +588,17 @@
           request.exchange().stream_started(*data);
         }
         if (!attempt.stream_started) continue;
-        const std::size_t before = request.outbox.size();
-        request.exchange().forward_event(*data, events.raw_event(), event, request.outbox);
-        if (request.outbox.size() > before) request.updated.notify();
+        const std::size_t size_before = request.outbox.size();
+        request.exchange().forward_event(*data, sse_parser.raw_event(), event, request.outbox);
+        if (request.outbox.size() > size_before) request.updated.notify();
       }
-      if (events.pending_bytes() > traits_.max_event_bytes) {
+      if (sse_parser.pending_bytes() > traits_.max_event_bytes) {
         end_attempt(request, attempt_index, Outcome::error, 0, report);
         co_return false;
       }
     }
-    if (!events.last_comment().empty()) {
-      const LoadReport update = protocol_.parse_load_report(events.last_comment());
+    if (!sse_parser.last_comment().empty()) {
+      const LoadReport update = protocol_.parse_load_report(sse_parser.last_comment());
       if (update.received) report = update;
     }
     if (error != http::MessageError::none) break;
@@ -617,6 +618,7 @@
   co_return complete;
 }
 
+// Pauses reading until the client has taken enough of the buffered events.
 io::Task<> Host::wait_for_client(ActiveRequest& request, ActiveAttempt& attempt) {
   attempt.paused_for_client = true;
   while (request.outbox.size() > kMaxOutboxBytes) co_await request.outbox_drained.wait();
@@ -624,7 +626,7 @@
   attempt.last_event_at = loop_.now();
 }
 
-// Releases the KV cache of one prefill at its own worker, for protocols without a single release per request.
+// Releases the KV cache of one prefill at its own worker (see Protocol::Traits::single_release).
 void Host::release_prefill(ActiveRequest& request, int attempt_index) {
   ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
   attempt.holds_kv = false;
@@ -632,36 +634,36 @@
                                            attempt_index, fleet_.at(attempt.worker).listed.address));
 }
 
-// Forwards a KV cache event to the releaser, which owns the lease where a single release frees everything.
+// Forwards a KV cache event to the releaser, if the protocol releases a request's KV cache through its lease.
 void Host::record_kv_event(ActiveRequest& request, HoldEvent event, int attempt_index) {
   if (!traits_.single_release) return;
-  if (attempt_index < 0) return releaser_.record(request.kv.shared(), event);
+  if (attempt_index < 0) return releaser_.record(request.kv_lease.shared(), event);
   const ActiveAttempt& attempt = *request.attempts[static_cast<std::size_t>(attempt_index)];
-  releaser_.record_attempt(request.kv.shared(), event, attempt_index, attempt.worker,
+  releaser_.record_attempt(request.kv_lease.shared(), event, attempt_index, attempt.worker,
                            attempt.assumed_run_time);
 }
 
 void Host::report_request_over(ActiveRequest& request) {
-  if (traits_.single_release) request.kv.request_over();
+  if (traits_.single_release) request.kv_lease.request_over();
 }
 
-void Host::add_trace(ActiveRequest& request, TraceStep step, int attempt_index, const char* detail,
-                     std::size_t bytes) {
+void Host::add_trace_entry(ActiveRequest& request, TraceStep step, int attempt_index, const char* detail,
+                           std::size_t bytes) {
   const ActiveAttempt* attempt =
       attempt_index < 0 ? nullptr : request.attempts[static_cast<std::size_t>(attempt_index)].get();
-  request.kv->trace.add({.at = loop_.now(),
-                         .step = step,
-                         .kv = request.kv->hold.state(),
-                         .attempt = static_cast<std::int16_t>(attempt_index),
-                         .worker = attempt == nullptr ? -1 : attempt->worker,
-                         .idle_time = attempt == nullptr ? 0 : attempt->connection_idle_time,
-                         .bytes = bytes,
-                         .detail = detail});
+  request.kv_lease->trace.add({.at = loop_.now(),
+                               .step = step,
+                               .kv = request.kv_lease->hold.state(),
+                               .attempt = static_cast<std::int16_t>(attempt_index),
+                               .worker = attempt == nullptr ? -1 : attempt->worker,
+                               .idle_time = attempt == nullptr ? 0 : attempt->connection_idle_time,
+                               .bytes = bytes,
+                               .detail = detail});
 }
 
 void Host::handle_kv_released(const KvLease& lease) {
   for (const std::shared_ptr<ActiveRequest>& request : requests_)
-    if (request && &*request->kv == &lease)
+    if (request && &*request->kv_lease == &lease)
       return enqueue({.kind = Input::Kind::kv_released, .request = request, .list = {}});
 }
 
@@ -670,21 +672,21 @@
   int written = 0;
   for (const std::shared_ptr<ActiveRequest>& request : requests_)
     if (request && written++ < kMaxTraces)
-      traces_.write_unthrottled(request->info.id, request->kv->trace, "asked for");
+      trace_writer_.write_unthrottled(request->info.id, request->kv_lease->trace, "asked for");
 }
 
 // Clients.
 
 io::Task<> Host::serve(http::Request& http_request, http::ResponseWriter& response) {
   RequestInfo info;
-  auto read = protocol_.open_exchange(http_request, info);
-  if (const Reply* reply = std::get_if<Reply>(&read)) {
+  auto open_result = protocol_.open_exchange(http_request, info);
+  if (const Reply* reply = std::get_if<Reply>(&open_result)) {
     if (reply->is_refusal) counters_.count_refusal(reply->status);
     if (reply->is_refusal && !reply->keep_connection) response.close_after_response();
     co_await response.respond(reply->status, reply->fields, reply->body);
     co_return;
   }
-  auto& exchange = std::get<std::unique_ptr<Exchange>>(read);
+  auto& exchange = std::get<std::unique_ptr<Exchange>>(open_result);
   const std::shared_ptr<ActiveRequest> request =
       add_request(std::move(info), std::move(exchange), http_request.received_at);
   try {
@@ -709,12 +711,12 @@
   request->deadline = request->arrived_at + request->info.time_limit;
   requests_[static_cast<std::size_t>(request->index)] = request;
   counters_.set_active_requests(++live_count_);
-  add_trace(*request, TraceStep::taken);
+  add_trace_entry(*request, TraceStep::taken);
   enqueue({Input::Kind::arrived, request, 0, {}, 0, {}, {}});
   return request;
 }
 
-// Writes events and the final response to the client, until all is written or the client has left.
+// Writes the stream's events and the final response to the client, unless the client leaves before the end.
 io::Task<> Host::serve_client(std::shared_ptr<ActiveRequest> shared_request, http::ResponseWriter& response) {
   ActiveRequest& request = *shared_request;
   io::Scope client_watch(loop_);
@@ -740,16 +742,17 @@
   co_await send_final_response(request, response, stream_started);
 }
 
-// Notices a client that leaves while a write to it is blocked; its attempts would go on otherwise.
+// Detects that the client has left even while a write to it is blocked, so that its attempts are ended.
 io::Task<> Host::watch_client(std::shared_ptr<ActiveRequest> request, http::ResponseWriter& response) {
   co_await response.wait_for_client_close();
   handle_client_left(request, response);
 }
 
+// Returns false if the client had already left.
 bool Host::mark_client_left(const std::shared_ptr<ActiveRequest>& request) {
   if (std::exchange(request->client_left, true)) return false;
   request->client_left_at = loop_.now();
-  add_trace(*request, TraceStep::client_left);
+  add_trace_entry(*request, TraceStep::client_left);
   enqueue({Input::Kind::client_left, request, 0, {}, 0, {}, {}});
   request->outbox_drained.notify();
   request->updated.notify();
--- a/router/host.h
+++ b/router/host.h
@@ -1,4 +1,4 @@
-// Runs one Policy on real connections: delivers every input to it in the order in which things happened and
+// Runs one Policy on real connections: delivers inputs to it in the order in which the events occurred and
 // carries out its actions. The host makes no scheduling decisions. Inputs are queued and delivered by a
 // single coroutine, so that actions never run inside an attempt's coroutine and may cancel any attempt.
 #pragma once
@@ -20,6 +20,7 @@
 
 namespace cressrill::router {
 
+// Creates the policy of a host, which carries out the policy's actions.
 using PolicyFactory =
     std::function<std::unique_ptr<Policy>(const PolicySettings&, std::uint64_t seed, Nanos now, Actions&)>;
 
@@ -33,19 +34,20 @@
 
   // Serves one client request until its response is written or the client has left.
   io::Task<> serve(http::Request& http_request, http::ResponseWriter& response);
-  // Queues a worker list, which is applied and passed to the policy in its turn.
+  // Queues a worker list, to be applied and passed to the policy after the inputs queued before it.
   void update_list(const core::WorkerList& list);
-  // Discovery responded without a change to the list.
+  // Records that discovery has confirmed the current list as up to date.
   void confirm_list() { fleet_.confirm_current(); }
-  // Queues the notice that discovery could not be reached.
+  // Queues an input that tells the policy that discovery could not be reached.
   void list_failed();
   const Fleet& fleet() const { return fleet_; }
+  // The number of requests that the policy has not forgotten yet.
   std::size_t live_requests() const { return live_count_; }
-  // Whether a release of KV cache is still pending that nobody would complete if this process exited now.
-  bool has_pending_releases() const { return releaser_.owes_release() || releaser_.has_open_calls(); }
+  // Whether a release of KV cache is pending, which no other process would complete if this one exited now.
+  bool has_pending_releases() const { return releaser_.has_pending_release() || releaser_.has_open_calls(); }
   // Shortens the pauses between repeated releases, as the process is about to exit.
   void expedite_releases() { releaser_.expedite(); }
-  // Writes the last steps of the active requests to the log.
+  // Writes the traces of up to 64 active requests to the log.
   void log_traces();
   core::Invariants& invariants() { return invariants_; }
   const core::Invariants& invariants() const { return invariants_; }
@@ -59,25 +61,25 @@
   std::vector<WorkerLoad> worker_loads() const;
 
  private:
-  // State of one schedule attempt.
+  // State of one attempt, a request for prefill or decode sent to one worker.
   struct ActiveAttempt {
     ActiveAttempt(io::Loop& loop, int worker_index, bool prefill)
         : worker(worker_index), is_prefill(prefill), scope(loop) {}
     int worker;
     bool is_prefill;
-    bool outstanding{true};  // the policy has not been notified of its end
-    bool end_queued{};       // its end has been queued as an input, or delivered
-    bool write_started{};    // part of its request may have been sent; only a response proves that it arrived
-    bool fully_written{};    // the whole request has been sent
-    bool response_received{};        // the head of a response, or bytes that cannot be parsed, came back
-    bool stream_started{};           // the client gets its stream
-    bool holds_kv{};                 // of a prefill: its KV cache is held at the prefill worker
-    int kv_source{-1};               // of a decode attempt: the prefill attempt whose KV cache it fetches
+    bool outstanding{true};    // its end has not been delivered to the policy
+    bool end_queued{};         // its end has been queued as an input, or delivered
+    bool write_started{};      // part of its request may have been sent; only a response proves its arrival
+    bool fully_written{};      // the whole request has been sent
+    bool response_received{};  // the head of a response, or bytes that cannot be parsed, came back
+    bool stream_started{};     // its stream is the one relayed to the client
+    bool holds_kv{};           // of a prefill: its KV cache is held at the prefill worker
+    int kv_source{-1};         // of a decode attempt: the prefill attempt whose KV cache it fetches
     std::string kv_transfer_params;  // of a prefill, as returned in its response
     io::Nanos decided_at{};
     io::Nanos write_started_at{};
     io::Nanos deadline{};
-    io::Nanos write_deadline{kNever};    // its request must have been written by then
+    io::Nanos write_deadline{kNever};    // by when its request must have been written
     io::Nanos assumed_run_time{};        // how long a prefill whose end is unknown is assumed to run
     io::Nanos first_event_at{};          // 0: no event with content yet
     io::Nanos connection_idle_time{-1};  // idle time of its connection before use; negative: a new connection
@@ -90,13 +92,13 @@
     ActiveRequest(io::Loop& loop, RequestInfo request_info, KvReleaser& releaser,
                   std::shared_ptr<KvLease> lease)
         : info(std::move(request_info)),
-          kv(releaser, std::move(lease)),
+          kv_lease(releaser, std::move(lease)),
           updated(loop),
           outbox_drained(loop) {}
     int index{};
     RequestInfo info;
-    KvLeaseHandle kv;
-    Exchange& exchange() { return *kv->exchange; }
+    KvLeaseHandle kv_lease;
+    Exchange& exchange() { return *kv_lease->exchange; }
     io::Nanos arrived_at{};
     io::Nanos deadline{};
     io::Signal updated;         // wakes the client's coroutine
@@ -107,12 +109,12 @@
     bool client_left{};
     io::Nanos client_left_at{};
     Nanos retry_after{};
-    bool engine_refused{};      // an engine rejected the request itself; the client gets that error
-    int streaming_attempt{-1};  // the attempt whose stream the client gets
-    int last_kv_attempt{-1};    // the latest prefill that left KV cache
+    bool engine_refused{};      // an engine found the request invalid; the client gets that error response
+    int streaming_attempt{-1};  // the attempt whose stream is relayed to the client
+    int last_kv_attempt{-1};    // the latest prefill that completed and left KV cache
     std::vector<std::unique_ptr<ActiveAttempt>> attempts;
   };
-  // An event for the policy, queued until it is delivered.
+  // An event that is queued until it is delivered to the policy.
   struct Input {
     enum class Kind {
       list,
@@ -178,8 +180,8 @@
   void release_prefill(ActiveRequest& request, int attempt_index);
   void record_kv_event(ActiveRequest& request, HoldEvent event, int attempt_index = -1);
   void report_request_over(ActiveRequest& request);
-  void add_trace(ActiveRequest& request, TraceStep step, int attempt_index = -1, const char* detail = "",
-                 std::size_t bytes = 0);
+  void add_trace_entry(ActiveRequest& request, TraceStep step, int attempt_index = -1,
+                       const char* detail = "", std::size_t bytes = 0);
   void handle_kv_released(const KvLease& lease);
 
   io::Loop& loop_;
@@ -190,7 +192,7 @@
   const Protocol::Traits traits_;
   core::Invariants invariants_;
   Fleet fleet_;
-  TraceWriter traces_;
+  TraceWriter trace_writer_;
   KvReleaser releaser_;  // outlives the requests, whose lease handles refer to it
   std::vector<std::shared_ptr<ActiveRequest>> requests_;  // by index; null where an index is free
   std::vector<int> free_indices_;
--- a/router/kv_lease.h
+++ b/router/kv_lease.h
@@ -1,6 +1,6 @@
-// The lease on one request's KV cache: what workers may hold of it, from just before the first byte of its
-// first prefill is written until it is proved that nothing is held any more. KvReleaser owns every lease that
-// may cover KV cache. A request has only a handle, through which it reports the events of its attempts;
+// The lease on one request's KV cache tracks what workers may hold of it, from just before the first byte of
+// its first prefill is written until it is proved that nothing is held any more. KvReleaser owns every lease
+// that may cover KV cache. A request has only a handle, through which it reports the events of its attempts;
 // destroying the handle ends the request.
 #pragma once
 
@@ -16,31 +16,33 @@
 
 namespace cressrill::router {
 
+// The lease and the state of its releases. Created by KvReleaser::open_lease().
 struct KvLease {
   KvLease(io::Loop& loop, io::Nanos limit, std::string request_id, std::unique_ptr<Exchange> request_exchange)
       : id(std::move(request_id)),
         exchange(std::move(request_exchange)),
         hold(limit),
         changed(loop),
-        release_first_done(loop) {}
+        prefill_unblocked(loop) {}
 
   static constexpr std::size_t kNotRegistered = static_cast<std::size_t>(-1);
 
-  std::string id;  // of the request
+  std::string id;  // the request's id
   std::unique_ptr<Exchange> exchange;
   KvHold hold;
   RequestTrace trace;
-  std::vector<WorkerRef> prefilled_at;  // release targets even when they are no longer listed as running
-  std::size_t index{kNotRegistered};    // among the releaser's leases
+  std::vector<WorkerRef> prefilled_at;  // workers that a prefill was written to; releases go to them even if
+                                        // they are no longer listed as running
+  std::size_t index{kNotRegistered};    // position among the releaser's registered leases
   io::Nanos check_at{kNever};           // when the next check is scheduled
   io::Nanos request_over_at{};
-  io::Nanos release_started_at{};  // of the latest release
-  int releases_confirmed{};
+  io::Nanos release_started_at{};  // when the latest release started
+  int releases_confirmed{};        // number of releases that a worker has confirmed
   int open_calls{};  // calls of the current release that may still reach a worker, even after their timeout
   bool release_running{};  // a release task of the releaser works on this lease
   bool limit_violation_counted{};
-  io::Signal changed;             // wakes the release task
-  io::Signal release_first_done;  // wakes a prefill that waits for a release to complete first
+  io::Signal changed;            // wakes the release task
+  io::Signal prefill_unblocked;  // wakes a prefill that waits until a release is confirmed
 };
 
 class KvReleaser;
--- a/router/kv_releaser.cpp
+++ b/router/kv_releaser.cpp
@@ -6,28 +6,29 @@
 
 namespace {
 
-constexpr io::Nanos kHoldLimitSlack = 300 * io::kMs;  // that the invariant allows past the limit
+constexpr io::Nanos kHoldLimitSlack = 300 * io::kMs;  // overrun of the hold limit that the invariant allows
 
-// While the process is exiting: the pause between repeated releases, and how long they are owed at most.
+// While the process is exiting: the pause between repeated releases, and for how long they are pending at most.
 // SIGKILL may come 3.7 s after SIGTERM.
 constexpr io::Nanos kExpeditedPause = 100 * io::kMs;
 constexpr io::Nanos kExpeditedDuration = 3 * io::kSecond;
 
-// After this many confirmed releases of a request, a release is sent to the workers of its lost attempts just
-// to obtain a response from them. Most workers respond to calls of other requests before that.
+// After this many confirmed releases of a request, further ones are sent to the workers of its lost attempts,
+// as their responses are evidence about these attempts. Most workers respond to calls of other requests before
+// that.
 constexpr int kReleasesBeforeProof = 3;
 
 }  // namespace
 
 KvReleaser::KvReleaser(io::Loop& loop, Fleet& fleet, core::Log& log, core::Counters& counters,
-                       core::Invariants& invariants, TraceWriter& traces, io::Nanos hold_limit,
+                       core::Invariants& invariants, TraceWriter& trace_writer, io::Nanos hold_limit,
                        std::function<void(const KvLease&)> on_released)
     : loop_(loop),
       fleet_(fleet),
       log_(log),
       counters_(counters),
       invariants_(invariants),
-      traces_(traces),
+      trace_writer_(trace_writer),
       hold_limit_(hold_limit),
       on_released_(std::move(on_released)),
       earlier_check_added_(loop),
@@ -40,7 +41,7 @@
 void KvReleaser::record(const std::shared_ptr<KvLease>& lease, HoldEvent event) {
   const HoldState before = lease->hold.state();
   const bool possible = lease->hold.record(event, loop_.now());
-  after_event(lease, event, before, possible);
+  process_event(lease, event, before, possible);
 }
 
 void KvReleaser::record_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt,
@@ -49,12 +50,12 @@
   const WorkerRef worker_ref{worker, fleet_.at(worker).identity};
   if (event == HoldEvent::prefill_written) lease->prefilled_at.push_back(worker_ref);
   const bool possible = lease->hold.record_attempt(event, loop_.now(), attempt, worker_ref, assumed_run_time);
-  after_event(lease, event, before, possible, attempt, worker);
+  process_event(lease, event, before, possible, attempt, worker);
 }
 
-// Traces an event, logs an impossible one, and starts or schedules the release that follows from it.
-void KvReleaser::after_event(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before,
-                             bool possible, int attempt, int worker) {
+// Adds an event to the trace, logs an impossible one, and starts or schedules the release that it requires.
+void KvReleaser::process_event(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before,
+                               bool possible, int attempt, int worker) {
   const KvHold& hold = lease->hold;
   lease->trace.add({.at = loop_.now(),
                     .step = TraceStep::kv_event,
@@ -66,12 +67,12 @@
   if (!possible) {
     log_.error("transition not allowed",
                {{"request", lease->id}, {"state", to_string(before)}, {"event", to_string(event)}});
-    traces_.write_unthrottled(lease->id, lease->trace, "transition not allowed");
+    trace_writer_.write_unthrottled(lease->id, lease->trace, "transition not allowed");
   }
   if (hold.needs_release()) register_lease(lease);
   invariants_.check(core::Invariant::kv_has_owner,
                     !hold.needs_release() || lease->index != KvLease::kNotRegistered, lease->id);
-  if (!hold.release_precedes_prefill()) lease->release_first_done.notify();
+  if (!hold.release_precedes_prefill()) lease->prefill_unblocked.notify();
   if (lease->release_running) return lease->changed.notify();
   if ((hold.request_over() && hold.needs_release()) || hold.release_due() <= loop_.now())
     return start_release(lease);
@@ -80,9 +81,9 @@
 }
 
 io::Task<> KvReleaser::await_release_before_prefill(std::shared_ptr<KvLease> lease) {
-  const io::Nanos until = loop_.now() + delay_before_next_call(hold_limit_, 0);
-  while (lease->hold.release_precedes_prefill() && loop_.now() < until)
-    co_await io::wait_until(loop_, lease->release_first_done, until);
+  const io::Nanos give_up_at = loop_.now() + delay_before_next_call(hold_limit_, 0);
+  while (lease->hold.release_precedes_prefill() && loop_.now() < give_up_at)
+    co_await io::wait_until(loop_, lease->prefill_unblocked, give_up_at);
 }
 
 void KvReleaser::request_over(const std::shared_ptr<KvLease>& lease) {
@@ -118,7 +119,7 @@
 
 void KvReleaser::schedule_check(const std::shared_ptr<KvLease>& lease, io::Nanos not_before) {
   const io::Nanos due = std::max(lease->hold.release_due(), not_before);
-  if (due >= lease->check_at) return;  // none is due, or a check is scheduled earlier
+  if (due >= lease->check_at) return;  // no release will be due, or an earlier check is scheduled
   const bool earliest = scheduled_checks_.empty() || due < scheduled_checks_.top().due_at;
   scheduled_checks_.push({due, lease});
   lease->check_at = due;
@@ -146,7 +147,8 @@
   const KvHold& hold = lease->hold;
   if (!hold.needs_release()) return unregister_if_released(lease);
   if (hold.release_due() > loop_.now()) return schedule_check(lease);
-  if (hold.state() == HoldState::held) traces_.write(lease->id, lease->trace, "held for most of its limit");
+  if (hold.state() == HoldState::held)
+    trace_writer_.write(lease->id, lease->trace, "held for most of its limit");
   start_release(lease);
 }
 
@@ -155,15 +157,15 @@
   lease->release_running = true;
 }
 
-// If every call has failed at once, no worker is reachable, and the release is owed no longer than the hold
+// If every call has failed at once, no worker is reachable, and the release is pending no longer than the hold
 // limit. A request that ends late still gets enough time for one call.
-bool KvReleaser::owes_release() const {
+bool KvReleaser::has_pending_release() const {
   return std::ranges::any_of(leases_, [&](const auto& lease) {
     if (!lease->hold.needs_release()) return false;
-    const bool time_is_left = !expedited() || loop_.now() < expedited_until_ ||
-                              loop_.now() < lease->request_over_at + release_call_timeout(hold_limit_);
+    const bool has_time_left = !expedited() || loop_.now() < expedited_until_ ||
+                               loop_.now() < lease->request_over_at + release_call_timeout(hold_limit_);
     const bool may_reach_worker = loop_.now() < lease->hold.limit_ends() || lease->open_calls > 0;
-    return time_is_left && may_reach_worker;
+    return has_time_left && may_reach_worker;
   });
 }
 
@@ -181,7 +183,7 @@
 
 // Evidence.
 
-const WorkerEntry* KvReleaser::find(const WorkerRef& worker) const {
+const WorkerEntry* KvReleaser::find_worker(const WorkerRef& worker) const {
   const WorkerEntry* entry = fleet_.find(worker.index);
   return entry != nullptr && entry->identity == worker.identity ? entry : nullptr;
 }
@@ -191,11 +193,11 @@
   std::vector<WorkerRef> unresolved;
   lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) { unresolved.push_back(worker); });
   for (const WorkerRef& worker : unresolved) {
-    const WorkerEntry* entry = find(worker);
+    const WorkerEntry* entry = find_worker(worker);
     if (entry == nullptr)
       lease.hold.worker_gone(worker.identity, loop_.now());
     else
-      lease.hold.worker_answered({worker.identity, entry->answered_call_written_at, entry->last_heard});
+      lease.hold.worker_answered({worker.identity, entry->responded_call_written_at, entry->last_heard});
   }
 }
 
@@ -242,7 +244,7 @@
       handle_confirmation(lease, *written_at, ordered_by_policy);
     } else if (hold.state() == HoldState::releasing) {
       counters_.count_release_abandoned();
-      traces_.write(lease->id, lease->trace, "no worker has confirmed a release");
+      trace_writer_.write(lease->id, lease->trace, "no worker has confirmed a release");
       record(lease, HoldEvent::release_given_up);
     }
   }
@@ -254,33 +256,34 @@
   collect_evidence(*lease);
   ++lease->releases_confirmed;
   const bool nothing_left = lease->hold.release_confirmed(written_at);
-  after_event(lease, HoldEvent::release_confirmed, before, true);
+  process_event(lease, HoldEvent::release_confirmed, before, true);
   counters_.count_release_confirmed();
   if (!lease->hold.request_over() && !ordered_by_policy && nothing_left) on_released_(*lease);
 }
 
-// Checks the hold limit against confirmations only: what may be held counts as held until a worker has
-// confirmed its release.
+// Checks the hold limit. KV cache that may be held counts as held until a worker has confirmed its release.
 void KvReleaser::check_hold_limit(KvLease& lease) {
-  const io::Nanos until = lease.hold.limit_ends();
-  if (lease.limit_violation_counted || until == kNever) return;
-  const io::Nanos overrun = loop_.now() - until - kHoldLimitSlack;
+  const io::Nanos limit_ends_at = lease.hold.limit_ends();
+  if (lease.limit_violation_counted || limit_ends_at == kNever) return;
+  const io::Nanos overrun = loop_.now() - limit_ends_at - kHoldLimitSlack;
   if (overrun <= 0) return;
   lease.limit_violation_counted = true;
   invariants_.check(core::Invariant::kv_released_in_time, false, lease.id, overrun / io::kMs);
-  traces_.write_unthrottled(lease.id, lease.trace, "held too long");
+  trace_writer_.write_unthrottled(lease.id, lease.trace, "held too long");
 }
 
-// Calls one worker after another; a call without a quick response stays open beside the next ones. Returns
-// early once the release is no longer needed, for example when an attempt has received its response.
+// Calls one worker after another; a call without a quick response stays open while the next ones are made.
+// Returns early once the release is no longer needed, for example when an attempt has received its response.
 io::Task<std::optional<io::Nanos>> KvReleaser::call_until_confirmed(KvLease& lease) {
-  std::optional<io::Nanos> confirmed;
+  std::optional<io::Nanos> confirmed_written_at;
   ReleaseCalls calls_made;
   lease.open_calls = 0;
   io::Scope calls(loop_);
-  const auto finished = [&] { return confirmed.has_value() || lease.hold.state() != HoldState::releasing; };
-  const io::Nanos until = loop_.now() + kReleaseGiveUpAfter;
-  while (loop_.now() < until) {
+  const auto finished = [&] {
+    return confirmed_written_at.has_value() || lease.hold.state() != HoldState::releasing;
+  };
+  const io::Nanos give_up_at = loop_.now() + kReleaseGiveUpAfter;
+  while (loop_.now() < give_up_at) {
     std::vector<ReleaseCandidate> candidates = release_candidates(lease);
     for (ReleaseCandidate& candidate : candidates)
       candidate.calls_made = calls_made.per_worker[candidate.worker];
@@ -289,20 +292,21 @@
       ++calls_made.per_worker[target.worker];
       ++calls_made.total;
       ++lease.open_calls;
-      calls.spawn(call_worker(lease, target.worker, needs_new_connection(target), calls_made, confirmed));
+      calls.spawn(
+          call_worker(lease, target.worker, needs_new_connection(target), calls_made, confirmed_written_at));
     }
     const io::Nanos called_at = loop_.now();
     const auto next_call = [&] { return called_at + delay_after(std::max(calls_made.total - 1, 0)); };
     while (!finished() && loop_.now() < next_call())
       co_await io::wait_until(loop_, lease.changed, next_call());
-    if (finished()) co_return confirmed;
+    if (finished()) co_return confirmed_written_at;
     check_hold_limit(lease);
   }
   co_return std::nullopt;
 }
 
 io::Task<> KvReleaser::call_worker(KvLease& lease, int worker, bool on_new_connection,
-                                   ReleaseCalls& calls_made, std::optional<io::Nanos>& confirmed) {
+                                   ReleaseCalls& calls_made, std::optional<io::Nanos>& confirmed_written_at) {
   const WorkerEntry* entry = fleet_.find(worker);
   if (entry == nullptr) {  // forgotten since it was selected
     --lease.open_calls;
@@ -314,7 +318,7 @@
                    .kv = lease.hold.state(),
                    .worker = worker,
                    .detail = on_new_connection ? "new connection" : "any connection"});
-  // Evaluated once a connection is available: a decode worker may have taken the KV cache in the meantime.
+  // Evaluated once a connection is available, as a decode worker may have taken the KV cache in the meantime.
   io::Nanos written_at = 0;
   const std::function<bool()> still_wanted = [&] {
     written_at = loop_.now();
@@ -330,10 +334,10 @@
     --calls_made.total;
   }
   if (!response || !response->ok() || response->head.status / 100 != 2) co_return;
-  if (find(called_worker) != nullptr) fleet_.at(worker).record_answer(written_at, loop_.now());
+  if (find_worker(called_worker) != nullptr) fleet_.at(worker).record_response(written_at, loop_.now());
   lease.trace.add(
       {.at = loop_.now(), .step = TraceStep::release_heard, .kv = lease.hold.state(), .worker = worker});
-  confirmed = written_at;
+  confirmed_written_at = written_at;
   lease.changed.notify();
 }
 
@@ -355,26 +359,26 @@
     return existing != candidates.end() ? &*existing : add(worker.index);
   };
   for (const WorkerRef& worker : lease.prefilled_at)
-    if (find(worker) != nullptr) candidate_for(worker);
+    if (find_worker(worker) != nullptr) candidate_for(worker);
   const bool needs_proof = expedited_until_ != kNever || lease.releases_confirmed >= kReleasesBeforeProof;
   if (!needs_proof) return candidates;
   lease.hold.for_each_unresolved_worker([&](const WorkerRef& worker) {
-    if (find(worker) != nullptr) candidate_for(worker)->has_unresolved_attempt = true;
+    if (find_worker(worker) != nullptr) candidate_for(worker)->has_unresolved_attempt = true;
   });
   return candidates;
 }
 
-void KvReleaser::release_at(int worker, std::string text) {
+void KvReleaser::release_at(int worker, std::string release_request) {
   counters_.count_release_requested();
-  direct_calls_.spawn(call_with_retries(fleet_.at(worker).pool, std::move(text)));
+  direct_calls_.spawn(call_with_retries(fleet_.at(worker).pool, std::move(release_request)));
 }
 
-io::Task<> KvReleaser::call_with_retries(std::shared_ptr<http::Pool> pool, std::string text) {
-  // Retried for a while: a prefill worker that cannot be reached may be busy, or gone together with its KV
-  // cache.
+io::Task<> KvReleaser::call_with_retries(std::shared_ptr<http::Pool> pool, std::string release_request) {
+  // Retried, as a prefill worker that cannot be reached may be busy, but only for a while, as it may be gone
+  // together with its KV cache.
   for (int i = 0; i < 4; ++i) {
-    const auto response =
-        co_await io::with_deadline(loop_, loop_.now() + hold_limit_ / 4, http::exchange(pool, text));
+    const auto response = co_await io::with_deadline(loop_, loop_.now() + hold_limit_ / 4,
+                                                     http::exchange(pool, release_request));
     if (response && response->ok()) co_return;
     co_await loop_.sleep_for(hold_limit_ / 20);
   }
--- a/router/kv_releaser.h
+++ b/router/kv_releaser.h
@@ -1,6 +1,6 @@
-// Owns the leases on the KV cache of requests. Starts a release when a lease requires one, calls workers
-// until one of them confirms it, and collects the evidence that ends the lease. Only that evidence ends a
-// lease, regardless of what becomes of its request.
+// Owns the leases on the KV cache of requests. Starts a release when a lease requires one, sends it to workers
+// until one of them confirms it, and collects the evidence that nothing is held any more. Only that evidence
+// ends a lease, even if its request has ended long before.
 #pragma once
 
 #include <functional>
@@ -25,7 +25,7 @@
   // on_released is called when a worker has confirmed that nothing is held any more for a request that is not
   // over.
   KvReleaser(io::Loop& loop, Fleet& fleet, core::Log& log, core::Counters& counters,
-             core::Invariants& invariants, TraceWriter& traces, io::Nanos hold_limit,
+             core::Invariants& invariants, TraceWriter& trace_writer, io::Nanos hold_limit,
              std::function<void(const KvLease&)> on_released);
 
   // Creates the lease of a new request. It is not registered until its first prefill is written.
@@ -43,15 +43,15 @@
   void request_gone(const std::shared_ptr<KvLease>& lease);
   // Suspends for a short, bounded time until a release that has to precede a further prefill is confirmed.
   io::Task<> await_release_before_prefill(std::shared_ptr<KvLease> lease);
-  // Whether a pending release may still reach a worker. No other process completes it if this one exits.
-  bool owes_release() const;
+  // Whether a release is pending that may still reach a worker. No other process would complete it.
+  bool has_pending_release() const;
   // Called as the process is about to exit: shortens the pauses between repeated releases and bounds the time
-  // for which they are still owed.
+  // for which they are pending.
   void expedite();
 
-  // For protocols that release each prefill's KV cache at its own worker: sends the request text there, with
+  // For protocols that release each prefill's KV cache at its own worker: sends the release request there, with
   // a few retries.
-  void release_at(int worker, std::string text);
+  void release_at(int worker, std::string release_request);
   // Whether a call of release_at() is in progress.
   bool has_open_calls() const { return !direct_calls_.empty(); }
   // Cancels all releases and ignores the end of requests from then on.
@@ -59,8 +59,8 @@
 
  private:
   static constexpr int kNone = -1;  // no attempt or no worker
-  void after_event(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before, bool possible,
-                   int attempt = kNone, int worker = kNone);
+  void process_event(const std::shared_ptr<KvLease>& lease, HoldEvent event, HoldState before, bool possible,
+                     int attempt = kNone, int worker = kNone);
   void register_lease(const std::shared_ptr<KvLease>& lease);
   void unregister_if_released(const std::shared_ptr<KvLease>& lease);
   void schedule_check(const std::shared_ptr<KvLease>& lease, io::Nanos not_before = 0);
@@ -75,7 +75,7 @@
   io::Nanos next_release_at(const KvLease& lease) const;
   void handle_confirmation(const std::shared_ptr<KvLease>& lease, io::Nanos written_at,
                            bool ordered_by_policy);
-  // Returns when the confirmed release was written, or nothing if no worker confirmed one.
+  // Returns the time at which the confirmed release was written, or nothing if no worker confirmed one.
   io::Task<std::optional<io::Nanos>> call_until_confirmed(KvLease& lease);
   // The calls made for one release; those that got no connection are not counted.
   struct ReleaseCalls {
@@ -83,18 +83,18 @@
     int total{};
   };
   io::Task<> call_worker(KvLease& lease, int worker, bool on_new_connection, ReleaseCalls& calls_made,
-                         std::optional<io::Nanos>& confirmed);
+                         std::optional<io::Nanos>& confirmed_written_at);
   std::vector<ReleaseCandidate> release_candidates(const KvLease& lease) const;
-  const WorkerEntry* find(const WorkerRef& worker) const;
+  const WorkerEntry* find_worker(const WorkerRef& worker) const;
   void collect_evidence(KvLease& lease);
-  io::Task<> call_with_retries(std::shared_ptr<http::Pool> pool, std::string text);
+  io::Task<> call_with_retries(std::shared_ptr<http::Pool> pool, std::string release_request);
 
   io::Loop& loop_;
   Fleet& fleet_;
   core::Log& log_;
   core::Counters& counters_;
   core::Invariants& invariants_;
-  TraceWriter& traces_;
+  TraceWriter& trace_writer_;
   const io::Nanos hold_limit_;
   std::function<void(const KvLease&)> on_released_;
   struct ScheduledCheck {
@@ -106,12 +106,12 @@
   };
   std::priority_queue<ScheduledCheck, std::vector<ScheduledCheck>, LaterCheck> scheduled_checks_;
   io::Signal earlier_check_added_;
-  std::vector<std::shared_ptr<KvLease>> leases_;  // that may cover KV cache or have a release running
+  std::vector<std::shared_ptr<KvLease>> leases_;  // those that may cover KV cache or have a release running
   io::Nanos expedited_until_{kNever};
   bool cancelled_{};
-  io::Scope check_task_;  // ends the process on an exception, as nothing is released without it
+  io::Scope check_task_;  // an exception in it ends the process, as nothing is released without it
   io::Scope release_tasks_;
-  io::Scope direct_calls_;  // of release_at()
+  io::Scope direct_calls_;  // calls of release_at()
 };
 
 }  // namespace cressrill::router
