--- a/router/engine_wire.cpp
+++ b/router/engine_wire.cpp
@@ -23,7 +23,7 @@
 
 static_assert(http::kReadPaddingBytes >= simdjson::SIMDJSON_PADDING);
 
-// Starts parsing text with the parser of this thread. Returns false if the text is not a JSON object.
+// Starts parsing text with the parser of this thread. Returns false if text is not a JSON object.
 bool open_object(std::string_view text, od::document& document, od::object& object) {
   static thread_local od::parser parser;
   return !parser
@@ -44,10 +44,11 @@
   return true;
 }
 
-// Appends a string value. A value of another type is ignored, as if the member were missing.
-bool append_string(od::value value, std::string& to) {
+// Appends a string value to output. A value of another type is ignored, as if the member were missing. Always
+// returns true, for use in for_each_member().
+bool append_string(od::value value, std::string& output) {
   std::string_view text;
-  if (!value.get_string().get(text)) to.append(text);
+  if (!value.get_string().get(text)) output.append(text);
   return true;
 }
 
@@ -55,15 +56,17 @@
   double prompt_tokens{};
   double cached_tokens{};
 };
-bool parse_usage(od::value value, Usage& to) {
+// Reads token counts into usage. Returns false if value is a malformed object.
+bool parse_usage(od::value value, Usage& usage) {
   od::object counts;
   if (value.get_object().get(counts)) return true;  // null in most events
   return for_each_member(counts, [&](std::string_view key, od::value member_value) {
-    if (key == "prompt_tokens" && member_value.get_double().get(to.prompt_tokens)) to.prompt_tokens = 0;
+    if (key == "prompt_tokens" && member_value.get_double().get(usage.prompt_tokens)) usage.prompt_tokens = 0;
     od::object details;
     if (key != "prompt_tokens_details" || member_value.get_object().get(details)) return true;
-    return for_each_member(details, [&](std::string_view inner, od::value detail_value) {
-      if (inner == "cached_tokens" && detail_value.get_double().get(to.cached_tokens)) to.cached_tokens = 0;
+    return for_each_member(details, [&](std::string_view detail_key, od::value detail_value) {
+      if (detail_key == "cached_tokens" && detail_value.get_double().get(usage.cached_tokens))
+        usage.cached_tokens = 0;
       return true;
     });
   });
@@ -76,8 +79,9 @@
   const auto field = head.field("endpoint-load-metrics");
   if (!field || !field->starts_with("TEXT ")) return report;
   std::string_view rest = field->substr(5);
-  double running = 0, waiting = 0;
-  bool counted = false;
+  double running = 0;
+  double waiting = 0;
+  bool has_request_count = false;
   while (!rest.empty()) {
     const std::size_t comma = std::min(rest.find(','), rest.size());
     std::string_view pair = rest.substr(0, comma);
@@ -94,15 +98,15 @@
     if (name == "kv_cache_usage_perc") report.memory_share = value;
     if (name == "num_requests_running") {
       running = value;
-      counted = true;
+      has_request_count = true;
     }
     if (name == "num_requests_waiting") {
       waiting = value;
-      counted = true;
+      has_request_count = true;
     }
   }
-  if (counted) report.requests = running + waiting;
-  report.received = counted || report.memory_share >= 0;
+  if (has_request_count) report.requests = running + waiting;
+  report.received = has_request_count || report.memory_share >= 0;
   return report;
 }
 
@@ -129,7 +133,7 @@
     if (key != "kv_transfer_params") return core::validate_json(value) == core::JsonValidity::valid;
     od::json_type type{};
     if (value.type().get(type) || type != od::json_type::object) return false;
-    // Passed unchanged to a decode worker, so all of it must be valid JSON.
+    // This text is passed unchanged to a decode worker, so all of it must be valid JSON.
     const char* json_begin = std::string_view(value.raw_json_token()).data();
     if (core::validate_json(value) != core::JsonValidity::valid) return false;
     response.kv_transfer_params = core::text_since(json_begin, document);
@@ -141,16 +145,16 @@
   return response;
 }
 
-// Parses one event of a stream. Events arrive for every token, so each is parsed in one pass, without
-// building a JSON tree.
+// Parses one event of a stream. As there is an event for every token, each is parsed in one pass, without
+// building a JSON tree. The read functions return false if the value is malformed.
 class ChunkReader {
  public:
   ChunkReader(StreamChunk& chunk, CompletionBuilder* builder) : chunk_(chunk), builder_(builder) {}
 
-  bool member(std::string_view key, od::value value, od::document& document) {
+  bool read_member(std::string_view key, od::value value, od::document& document) {
     if (key == "error") chunk_.error = true;
-    if (key == "choices") return choices(value);
-    if (key == "usage") return usage(value, document);
+    if (key == "choices") return read_choices(value);
+    if (key == "usage") return read_usage(value, document);
     if (builder_ == nullptr) return true;
     if (key == "id" && builder_->id_.empty()) return append_string(value, builder_->id_);
     if (key == "model" && builder_->model_.empty()) return append_string(value, builder_->model_);
@@ -162,7 +166,7 @@
   bool has_usage() const { return has_usage_; }
 
  private:
-  bool choices(od::value value) {
+  bool read_choices(od::value value) {
     od::array list;
     if (value.get_array().get(list)) return true;
     for (auto item : list) {
@@ -170,58 +174,57 @@
       od::object choice;
       if (builder_ == nullptr || !first) break;  // the parser skips the rest
       if (item.get_object().get(choice)) return true;
-      if (!for_each_member(choice, [&](std::string_view key, od::value nested) {
-            if (key == "finish_reason") return finish_reason(nested);
-            if (key == "text") return append_string(nested, builder_->content_);
+      if (!for_each_member(choice, [&](std::string_view key, od::value choice_value) {
+            if (key == "finish_reason") return read_finish_reason(choice_value);
+            if (key == "text") return append_string(choice_value, builder_->content_);
             od::object delta;
-            return key != "delta" || nested.get_object().get(delta) || this->delta(delta);
+            return key != "delta" || choice_value.get_object().get(delta) || this->read_delta(delta);
           }))
         return false;
     }
     return true;
   }
-  bool finish_reason(od::value value) {
+  bool read_finish_reason(od::value value) {
     std::string_view text;
     if (!value.get_string().get(text) && !text.empty()) builder_->finish_reason_ = text;
     return true;
   }
-  bool delta(od::object object) {
+  bool read_delta(od::object object) {
     return for_each_member(object, [&](std::string_view key, od::value value) {
       if (key == "content") return append_string(value, builder_->content_);
       od::array calls;
       if (key != "tool_calls" || value.get_array().get(calls)) return true;
       for (auto call : calls) {
-        od::object object_of_call;
-        if (!call.get_object().get(object_of_call) && !tool_call(object_of_call)) return false;
+        od::object tool_call;
+        if (!call.get_object().get(tool_call) && !read_tool_call(tool_call)) return false;
       }
       return true;
     });
   }
-  // A tool call arrives in parts that carry the same index. The index is the first member; without one it is
-  // 0.
-  bool tool_call(od::object call) {
+  // A tool call arrives in parts that carry the same index, as their first member. Without an index, it is 0.
+  bool read_tool_call(od::object call) {
     std::size_t index = 0;
-    const auto at = [&]() -> CompletionBuilder::ToolCall& {
+    const auto tool_call_at_index = [&]() -> CompletionBuilder::ToolCall& {
       if (builder_->tool_calls_.size() <= index) builder_->tool_calls_.resize(index + 1);
       return builder_->tool_calls_[index];
     };
     return for_each_member(call, [&](std::string_view key, od::value value) {
       std::uint64_t parsed_index = 0;
       if (key == "index" && !value.get_uint64().get(parsed_index)) index = parsed_index;
-      if (index > 127) return true;
+      if (index > 127) return true;  // ignored, so that a large index does not allocate much memory
       if (key == "id") {
         std::string_view id;
-        if (!value.get_string().get(id) && !id.empty()) at().id = id;
+        if (!value.get_string().get(id) && !id.empty()) tool_call_at_index().id = id;
       }
       od::object function;
       if (key != "function" || value.get_object().get(function)) return true;
-      return for_each_member(function, [&](std::string_view inner, od::value nested) {
-        if (inner == "name") return append_string(nested, at().name);
-        return inner != "arguments" || append_string(nested, at().arguments);
+      return for_each_member(function, [&](std::string_view function_key, od::value function_value) {
+        if (function_key == "name") return append_string(function_value, tool_call_at_index().name);
+        return function_key != "arguments" || append_string(function_value, tool_call_at_index().arguments);
       });
     });
   }
-  bool usage(od::value value, od::document& document) {
+  bool read_usage(od::value value, od::document& document) {
     has_usage_ = true;
     Usage counts;
     od::json_type type{};
@@ -245,8 +248,9 @@
   od::object object;
   if (!open_object(data, document, object)) return {};
   ChunkReader reader(chunk, builder);
-  if (!for_each_member(
-          object, [&](std::string_view key, od::value value) { return reader.member(key, value, document); }))
+  if (!for_each_member(object, [&](std::string_view key, od::value value) {
+        return reader.read_member(key, value, document);
+      }))
     return {};
   chunk.usage_only = reader.has_usage() && !chunk.has_content;
   chunk.readable = true;
--- a/router/engine_wire.h
+++ b/router/engine_wire.h
@@ -1,4 +1,4 @@
-// Parses what engines respond with (docs/design/engine-wire.md). Works on texts only, without sockets.
+// Parses the responses of engines (docs/design/engine-wire.md). Works on texts only, without sockets.
 #pragma once
 
 #include <optional>
@@ -31,10 +31,10 @@
 
 // One chunk of a streamed completion.
 struct StreamChunk {
-  bool readable{};
+  bool readable{};     // is valid JSON of the expected form
   bool has_content{};  // holds at least one choice
-  bool usage_only{};
-  bool error{};
+  bool usage_only{};   // has a usage member and no choice
+  bool error{};        // reports an error
   double cached_tokens{};
   double prompt_tokens{};
 };
@@ -46,16 +46,23 @@
 // Assembles a complete (non-streamed) response from the chunks of a stream.
 class CompletionBuilder {
  public:
+  // The response's body. chat: in the format of chat completions.
   std::string body(bool chat) const;
   // The approximate size of the response so far.
   std::size_t bytes() const { return content_.size() + tool_calls_.size() * 64; }
 
  private:
   friend class ChunkReader;
-  std::string id_, model_, content_, finish_reason_, usage_;
-  long long created_{};
+  std::string id_;
+  std::string model_;
+  std::string content_;
+  std::string finish_reason_;
+  std::string usage_;    // JSON text
+  long long created_{};  // Unix time in seconds
   struct ToolCall {
-    std::string id, name, arguments;
+    std::string id;
+    std::string name;
+    std::string arguments;
   };
   std::vector<ToolCall> tool_calls_;
 };
--- a/router/fleet.cpp
+++ b/router/fleet.cpp
@@ -88,9 +88,9 @@
   return &entry;
 }
 
-// Whether an entry lists a worker as ready only because its list is older than the one that reported the worker
-// as draining or gone. This happens when another discovery agent lags behind the previous one or a list arrives
-// late; accepting the entry would break rule 3 (no new requests to draining workers).
+// Whether an entry lists a worker as ready only because its list is older than the one that reported the
+// worker as draining or gone. This happens when another discovery agent lags behind the previous one or a
+// list arrives late; accepting the entry would break rule 3 (no new requests to draining workers).
 bool Fleet::is_stale_ready(const core::WorkerList& list, const core::ListedWorker& listed,
                            const WorkerEntry& entry) const {
   if (listed.status != WorkerStatus::ready || entry.not_ready_since == 0) return false;
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -19,8 +19,8 @@
   return names[static_cast<int>(outcome)];
 }
 
-// The outcome of a response that was truncated or could not be parsed. The attempt may have run in both cases,
-// but only the first counts as a lost connection.
+// The outcome of a response that was truncated or could not be parsed. The attempt may have run in both
+// cases, but only the first counts as a lost connection.
 Outcome outcome_of_error(http::MessageError error) {
   const bool truncated = error == http::MessageError::none || error == http::MessageError::closed;
   return truncated ? Outcome::connection_lost : Outcome::error;
@@ -350,10 +350,10 @@
   if (!attempt.stream_started) end_attempt(*request, attempt_index, Outcome::timed_out);
 }
 
-// A started stream has no deadline, but counts as broken once it has had no event for the stall timeout, as its
-// engine hangs. Runs from the first event on, as the attempt's own deadline may be far off. Time while reading
-// is paused for a slow client does not count, as it says nothing about the engine; a client that accepts no
-// data at all is disconnected by the server (http::Server::set_write_stall_timeout()).
+// A started stream has no deadline, but counts as broken once it has had no event for the stall timeout, as
+// its engine hangs. Runs from the first event on, as the attempt's own deadline may be far off. Time while
+// reading is paused for a slow client does not count, as it says nothing about the engine; a client that
+// accepts no data at all is disconnected by the server (http::Server::set_write_stall_timeout()).
 io::Task<> Host::enforce_stall_timeout(std::shared_ptr<ActiveRequest> request, int attempt_index) {
   const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
   for (;;) {
@@ -400,8 +400,8 @@
     add_trace_entry(*request, TraceStep::written, attempt_index, result.ok() ? "whole" : "in part",
                     result.bytes);
     if (!result.ok()) {
-      // If nothing was written on a reused connection, it was stale, and the write is repeated on another one.
-      // If part of the request was written, the attempt may be running.
+      // If nothing was written on a reused connection, it was stale, and the write is repeated on another
+      // one. If part of the request was written, the attempt may be running.
       if (result.bytes == 0 && lease->reused) continue;
       if (result.bytes > 0) lease.record_loss();
       const bool not_run = result.bytes == 0 || traits_.partial_request_never_runs;
@@ -462,8 +462,8 @@
   return false;
 }
 
-// Checks, after the write, that the margins of check_begin() have covered the delay between that check and the
-// write. timeout: the time limit that was sent to the worker.
+// Checks, after the write, that the margins of check_begin() have covered the delay between that check and
+// the write. timeout: the time limit that was sent to the worker.
 void Host::check_begin_invariants(const ActiveRequest& request, const ActiveAttempt& attempt,
                                   io::Nanos timeout) {
   using core::Invariant;
--- a/router/kv_releaser.cpp
+++ b/router/kv_releaser.cpp
@@ -8,14 +8,14 @@
 
 constexpr io::Nanos kHoldLimitSlack = 300 * io::kMs;  // overrun of the hold limit that the invariant allows
 
-// While the process is exiting: the pause between repeated releases, and for how long they are pending at most.
-// SIGKILL may come 3.7 s after SIGTERM.
+// While the process is exiting: the pause between repeated releases, and for how long they are pending at
+// most. SIGKILL may come 3.7 s after SIGTERM.
 constexpr io::Nanos kExpeditedPause = 100 * io::kMs;
 constexpr io::Nanos kExpeditedDuration = 3 * io::kSecond;
 
 // After this many confirmed releases of a request, further ones are sent to the workers of its lost attempts,
-// as their responses are evidence about these attempts. Most workers respond to calls of other requests before
-// that.
+// as their responses are evidence about these attempts. Most workers respond to calls of other requests
+// before that.
 constexpr int kReleasesBeforeProof = 3;
 
 }  // namespace
@@ -157,8 +157,8 @@
   lease->release_running = true;
 }
 
-// If every call has failed at once, no worker is reachable, and the release is pending no longer than the hold
-// limit. A request that ends late still gets enough time for one call.
+// If every call has failed at once, no worker is reachable, and the release is pending no longer than the
+// hold limit. A request that ends late still gets enough time for one call.
 bool KvReleaser::has_pending_release() const {
   return std::ranges::any_of(leases_, [&](const auto& lease) {
     if (!lease->hold.needs_release()) return false;
--- a/router/kv_releaser.h
+++ b/router/kv_releaser.h
@@ -1,6 +1,6 @@
-// Owns the leases on the KV cache of requests. Starts a release when a lease requires one, sends it to workers
-// until one of them confirms it, and collects the evidence that nothing is held any more. Only that evidence
-// ends a lease, even if its request has ended long before.
+// Owns the leases on the KV cache of requests. Starts a release when a lease requires one, sends it to
+// workers until one of them confirms it, and collects the evidence that nothing is held any more. Only that
+// evidence ends a lease, even if its request has ended long before.
 #pragma once
 
 #include <functional>
@@ -49,8 +49,8 @@
   // for which they are pending.
   void expedite();
 
-  // For protocols that release each prefill's KV cache at its own worker: sends the release request there, with
-  // a few retries.
+  // For protocols that release each prefill's KV cache at its own worker: sends the release request there,
+  // with a few retries.
   void release_at(int worker, std::string release_request);
   // Whether a call of release_at() is in progress.
   bool has_open_calls() const { return !direct_calls_.empty(); }
--- a/router/openai.cpp
+++ b/router/openai.cpp
@@ -16,8 +16,8 @@
 // Strips characters that are not allowed in a header line and limits the length.
 std::string sanitize(std::string_view text, std::size_t max_length = 128) {
   std::string sanitized;
-  for (const char c : text.substr(0, max_length))
-    if (c > ' ' && c < 127) sanitized.push_back(c);
+  for (const char character : text.substr(0, max_length))
+    if (character > ' ' && character < 127) sanitized.push_back(character);
   return sanitized;
 }
 
@@ -35,16 +35,16 @@
         id_(std::move(id)),
         engine_fields_(std::move(engine_fields)) {}
 
-  void build_request(const AttemptInfo& attempt, RequestText& to) override {
+  void build_request(const AttemptInfo& attempt, RequestText& text) override {
     if (attempt.is_prefill)
-      core::build_prefill_body(request_, to.body);
+      core::build_prefill_body(request_, text.body);
     else
-      core::build_decode_body(request_, attempt.kv_transfer_params, to.body);
+      core::build_decode_body(request_, attempt.kv_transfer_params, text.body);
     const std::string fields = fmt::format("{}x-request-id: {}-{}\r\nx-attempt: {}\r\n", engine_fields_, id_,
                                            attempt.number, attempt.number);
     const char* path = request_.api == core::Api::chat ? "/v1/chat/completions" : "/v1/completions";
-    to.head = http::format_request_head("POST", path, attempt.worker_address, fields, to.body.bytes);
-    to.body.parts.insert(to.body.parts.begin(), to.head);
+    text.head = http::format_request_head("POST", path, attempt.worker_address, fields, text.body.bytes);
+    text.body.parts.insert(text.body.parts.begin(), text.head);
   }
 
   ResponseMeaning interpret_response(const AttemptInfo& attempt, const http::Head& head,
@@ -68,7 +68,7 @@
 
   StreamEvent interpret_event(std::string_view data, bool started) override {
     if (data == "[DONE]") return {.is_last = true};
-    // A non-streamed response is assembled from the one stream that was selected for the client.
+    // A non-streamed response is assembled from the events of the client's stream alone.
     const StreamChunk chunk = parse_chunk(data, started && !request_.stream ? &builder_ : nullptr);
     return {chunk.readable && !chunk.error, chunk.has_content, false, chunk.usage_only, chunk.cached_tokens};
   }
@@ -78,9 +78,9 @@
   }
 
   void forward_event(std::string_view data, std::string_view, const StreamEvent& event,
-                     std::string& to) override {
+                     std::string& output) override {
     if (event.is_last || !request_.stream || (event.usage_only && !request_.include_usage)) return;
-    to.append("data: ").append(data).append("\n\n");
+    output.append("data: ").append(data).append("\n\n");
   }
 
   std::size_t buffered_bytes() const override { return builder_.bytes(); }
@@ -139,8 +139,8 @@
   std::string id_;
   std::string engine_fields_;  // header lines sent with every attempt
   CompletionBuilder builder_;
-  int engine_status_{};
-  std::string engine_body_;
+  int engine_status_{};      // status of the first client error from an engine; 0: none
+  std::string engine_body_;  // body of that response
 };
 
 std::string_view OpenAi::stream_fields() const {
@@ -162,7 +162,7 @@
 }
 
 std::variant<std::unique_ptr<Exchange>, Reply> OpenAi::open_exchange(http::Request& request,
-                                                                     RequestInfo& to) {
+                                                                     RequestInfo& info) {
   const http::Head& head = request.head;
   const std::string_view path = head.target.substr(0, head.target.find('?'));
   const bool chat = path == "/v1/chat/completions";
@@ -182,16 +182,17 @@
     return make_refusal(*request_error);
   const auto& classified = std::get<core::ClassifiedRequest>(classification);
 
-  to.id = sanitize(head.field("x-request-id").value_or(""), 64);
-  if (to.id.empty()) to.id = fmt::format("{}-{:x}-{}", config_.name, request.received_at, ++request_count_);
-  to.type = classified.type;
-  to.tenant = classified.tenant;
-  to.session = parsed.session_hash;
-  to.prefix_hash = parsed.prefix_hash;
-  to.prompt_tokens = classified.prompt_tokens;
-  to.prefix_tokens = classified.prefix_tokens;
-  to.max_output_tokens = classified.max_output_tokens;
-  to.time_limit = classified.time_limit;
+  info.id = sanitize(head.field("x-request-id").value_or(""), 64);
+  if (info.id.empty())
+    info.id = fmt::format("{}-{:x}-{}", config_.name, request.received_at, ++request_count_);
+  info.type = classified.type;
+  info.tenant = classified.tenant;
+  info.session = parsed.session_hash;
+  info.prefix_hash = parsed.prefix_hash;
+  info.prompt_tokens = classified.prompt_tokens;
+  info.prefix_tokens = classified.prefix_tokens;
+  info.max_output_tokens = classified.max_output_tokens;
+  info.time_limit = classified.time_limit;
   std::string engine_fields = fmt::format(
       "content-type: application/json\r\nendpoint-load-metrics-format: TEXT\r\nx-router: "
       "{}\r\nx-traffic-type: {}\r\n",
@@ -201,7 +202,7 @@
                                  sanitize(config_.tenants[static_cast<std::size_t>(classified.tenant)].name));
   if (const auto key = head.field("idempotency-key"))
     engine_fields += fmt::format("idempotency-key: {}\r\n", sanitize(*key, 256));
-  return std::make_unique<CompletionExchange>(*this, std::move(parsed), to.id, std::move(engine_fields));
+  return std::make_unique<CompletionExchange>(*this, std::move(parsed), info.id, std::move(engine_fields));
 }
 
 }  // namespace cressrill::router
--- a/router/openai.h
+++ b/router/openai.h
@@ -1,4 +1,5 @@
-// OpenAI's API towards clients and the engines' protocol towards workers (docs/design/engine-wire.md).
+// Implements Protocol with OpenAI's API towards clients and the engines' HTTP API towards workers
+// (docs/design/engine-wire.md).
 #pragma once
 
 #include "core/classify.h"
@@ -11,7 +12,7 @@
   explicit OpenAi(const core::RouterConfig& config) : config_(config) {}
   Traits traits() const override { return {}; }
   std::variant<std::unique_ptr<Exchange>, Reply> open_exchange(http::Request& request,
-                                                               RequestInfo& to) override;
+                                                               RequestInfo& info) override;
   std::string_view stream_fields() const override;
   LoadReport parse_load_report(const http::Head& head) const override;
   LoadReport parse_load_report(std::string_view) const override { return {}; }
