--- a/router/discovery_client.cpp
+++ b/router/discovery_client.cpp
@@ -41,6 +41,7 @@
 
 void DiscoveryClient::save_list() {
   if (config_.last_list_path.empty()) return;
+  // Written to another file and renamed, so that a process that crashes leaves no incomplete list.
   const std::string temporary_path = config_.last_list_path + ".next";
   {
     std::ofstream file(temporary_path, std::ios::trunc);
@@ -78,7 +79,7 @@
       http::ConnectionLease lease(pool_);
       if (co_await lease.acquire()) {
         const io::Nanos connected_at = loop_.now();
-        co_await follow(*lease);
+        co_await watch(*lease);
         if (loop_.now() - connected_at > kMaxReconnectDelay) delay = kMinReconnectDelay;
       }
     }
@@ -89,21 +90,22 @@
   }
 }
 
-io::Task<> DiscoveryClient::follow(http::Connection& connection) {
-  const std::string text =
+io::Task<> DiscoveryClient::watch(http::Connection& connection) {
+  const std::string request =
       http::format_request("GET", "/v1/workers?watch=" + config_.name, config_.discovery_address, "", "");
-  const io::IoResult written = co_await connection.socket.write_all(text);
+  const io::IoResult written = co_await connection.socket.write_all(request);
   if (!written.ok()) co_return;
   http::Head head;
   const http::MessageError error = co_await connection.reader->read_head(head);
   if (error != http::MessageError::none || head.status != 200) co_return;
-  std::string bytes;
+  std::string buffered;
   while (connection.reader->has_more()) {
-    const http::MessageError body_error = co_await connection.reader->read_some_body(bytes);
-    std::size_t from = 0;
-    for (std::size_t end; (end = bytes.find('\n', from)) != std::string::npos; from = end + 1)
-      handle_line(bytes.substr(from, end - from));
-    bytes.erase(0, from);
+    const http::MessageError body_error = co_await connection.reader->read_some_body(buffered);
+    std::size_t line_start = 0;
+    for (std::size_t line_end; (line_end = buffered.find('\n', line_start)) != std::string::npos;
+         line_start = line_end + 1)
+      handle_line(buffered.substr(line_start, line_end - line_start));
+    buffered.erase(0, line_start);
     if (body_error != http::MessageError::none) co_return;
   }
 }
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -449,7 +449,7 @@
           .drain_grace = config_.drain_grace,
           .client_left_at = request.client_left_at,
           .ended = attempt.end_queued,
-          .request_answered = request.outcome != RequestOutcome::none};
+          .has_final_outcome = request.outcome != RequestOutcome::none};
 }
 
 bool Host::may_begin(const ActiveRequest& request, const ActiveAttempt& attempt) {
--- a/router/instance.h
+++ b/router/instance.h
@@ -1,4 +1,4 @@
-// A running router: its listeners, its host and its discovery client.
+// A running router: its HTTP servers for clients and for administration, its host and its discovery client.
 #pragma once
 
 #include "discovery_client.h"
@@ -12,10 +12,11 @@
            const PolicyFactory& create_policy);
   const io::Address& address() const { return server_.address(); }
   Host& host() { return host_; }
-  // Stops accepting connections. is_idle() turns true once all active requests are answered.
+  // Stops accepting connections.
   void stop() { server_.stop_accepting(); }
+  // Whether no request is active and no client connection is open.
   bool is_idle() const { return host_.live_requests() == 0 && server_.open_connections() == 0; }
-  // Breaks every connection, as if the process had been killed.
+  // Closes every client connection abruptly, as if the process had been killed.
   void kill() { server_.kill(); }
 
  private:
--- a/router/start_times.h
+++ b/router/start_times.h
@@ -14,15 +14,16 @@
 
 class StartTimes {
  public:
-  // offset: what the wall clock of this machine shows at monotonic zero, as read now. Each step of the clock
-  // changes it; the smallest offset seen gives the latest start.
+  // offset: the current difference between this machine's wall clock and its monotonic clock. Each step of
+  // the wall clock changes it; the smallest offset seen gives the latest start.
   void record_wall_offset(Nanos offset) { min_wall_offset_ = std::min(min_wall_offset_, offset); }
-  // The current list was up to date at that time: a start that it does not name happened later or became
-  // known to discovery later.
+  // Records that the current list was up to date at that time: a start that it does not report happened later
+  // or became known to discovery later.
   void record_current(Nanos now) { list_current_at_ = now; }
 
-  // Converts a start time (Unix time) that is reported now. A router that has just started knows of no
-  // earlier up-to-date list and has to trust the wall clock: the start may then lie anywhere in the past.
+  // Converts a start time (Unix time in nanoseconds) that is reported now. A router that has just started
+  // knows of no earlier up-to-date list and has to trust the wall clock: the start may then lie anywhere in
+  // the past.
   Nanos to_monotonic(Nanos start_time, Nanos now) const {
     const Nanos converted = std::min(now, start_time - min_wall_offset_);
     const bool too_early = list_current_at_ > 0 && converted < list_current_at_ - kDiscoveryLag;
