--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -1,6 +1,6 @@
 // Test fixture for OpenAI-compatible engines: stand-in engines, a discovery stand-in, one router and clients
-// in one process, over loopback and on simulated time. What engines and clients record is checked by the
-// verdict, and can be printed as a short trace and compared with tests/traces/NAME.txt.
+// in one process, over loopback and on simulated time. rig::check_rules() checks what engines and clients
+// record, which can also be printed as a short trace and compared with tests/traces/NAME.txt.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -93,10 +93,11 @@
   return config.value();
 }
 
-// A running router with its engines, discovery and clients. Members are public for tests to change.
+// A running router with its engines, discovery and clients. Prefill engines are named reader-0, reader-1 and
+// so on, decode engines writer-0 and so on. Members are public for tests to change.
 class EngineFixture {
  public:
-  // `adjust` is called with the options of each engine before it is created.
+  // `adjust` is called with the configuration of each engine before the engine is created.
   explicit EngineFixture(int prefills = 2, int decodes = 2,
                          const router::PolicyFactory& policy_factory = make_policy,
                          const std::function<void(EngineConfig&)>& adjust = {})
@@ -105,18 +106,19 @@
         config(test_config(discovery.address().to_string())),
         log("r", "off") {
     for (int i = 0; i < prefills + decodes; ++i) {
-      EngineConfig make;
-      make.name = i < prefills ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - prefills);
-      make.kind = i < prefills ? "prefill" : "decode";
-      make.role = i < prefills ? Role::prefill : Role::decode;
-      make.address = "127.0.0.1:0";
-      make.zone = "east";
-      make.cell = "e1";
-      make.read_per_s = 10'000;
-      make.step_ms = 20;
-      make.memory_tokens = 100'000;
-      if (adjust) adjust(make);
-      engines.push_back(std::make_unique<Engine>(loop, make, recorder));
+      EngineConfig engine_config;
+      engine_config.name =
+          i < prefills ? fmt::format("reader-{}", i) : fmt::format("writer-{}", i - prefills);
+      engine_config.kind = i < prefills ? "prefill" : "decode";
+      engine_config.role = i < prefills ? Role::prefill : Role::decode;
+      engine_config.address = "127.0.0.1:0";
+      engine_config.zone = "east";
+      engine_config.cell = "e1";
+      engine_config.read_per_s = 10'000;
+      engine_config.step_ms = 20;
+      engine_config.memory_tokens = 100'000;
+      if (adjust) adjust(engine_config);
+      engines.push_back(std::make_unique<Engine>(loop, engine_config, recorder));
       Engine* engine = engines.back().get();
       discovery.publish_change(rig::listed(*engine, WorkerStatus::ready));
       engine->on_change([this, engine](bool up) {
@@ -128,11 +130,12 @@
     run_pending();
     router = std::make_unique<router::Instance>(loop, config, log, 7, policy_factory);
     run_for(50);
-    rule_book.drain_grace = config.drain_grace;
-    rule_book.pin_limit = config.settings.kv_hold_limit;
+    rule_settings.drain_grace = config.drain_grace;
+    rule_settings.pin_limit = config.settings.kv_hold_limit;
     for (std::size_t i = 0; i < config.type_rules.size(); ++i) {
       const TrafficType& type = config.settings.types[i];
-      rule_book.types[config.type_rules[i].name] = {type.effect, type.group, type.window, type.utility, 0.2};
+      rule_settings.types[config.type_rules[i].name] = {type.effect, type.group, type.window, type.utility,
+                                                        0.2};
     }
     started_at = loop.now();
   }
@@ -143,14 +146,14 @@
   }
 
   Engine& engine(const std::string& name) {
-    for (auto& e : engines)
-      if (e->config().name == name) return *e;
+    for (auto& candidate : engines)
+      if (candidate->config().name == name) return *candidate;
     throw std::invalid_argument(name);
   }
   void run_for(std::int64_t ms) { testing::run_for(loop, ms); }
   // Runs long enough for events that are due now.
   void run_pending() { run_for(1); }
-  // Runs until that event has been recorded `count` times in all.
+  // Runs until that event has been recorded `count` times, including those recorded before the call.
   void run_until_recorded(const std::string& event, std::size_t count = 1) {
     const bool recorded = loop.run_until([&] {
       return static_cast<std::size_t>(std::ranges::count_if(
@@ -159,56 +162,59 @@
     CHECK_MESSAGE(recorded, "event never recorded: " << event);
   }
 
-  // A client request with that name as its id, session and token; `out` is the number of tokens that it
-  // generates.
-  rig::ClientRequest request(const std::string& name, int out = 4, const std::string& model = "m",
-                             bool stream = true, int words = 200) {
-    rig::ClientRequest question;
-    question.sequence = name;
-    question.id = name + ".0";
-    question.router = "r";
-    question.address = router->address();
-    question.stream = stream;
-    question.type = model == "m" ? "plain" : model;
-    if (model == "once") question.type = "once";
-    if (model == "tokened") question.idempotency_key = "mark-" + name;
-    question.time_limit = 5'000 * io::kMs;
-    question.slo = 1'500 * io::kMs;
+  // A client request whose sequence, session and idempotency key are derived from `name`. The engine
+  // generates `output_tokens` tokens in response.
+  rig::ClientRequest request(const std::string& name, int output_tokens = 4, const std::string& model = "m",
+                             bool stream = true, int prompt_words = 200) {
+    rig::ClientRequest client_request;
+    client_request.sequence = name;
+    client_request.id = name + ".0";
+    client_request.router = "r";
+    client_request.address = router->address();
+    client_request.stream = stream;
+    client_request.type = model == "m" ? "plain" : model;
+    if (model == "once") client_request.type = "once";
+    if (model == "tokened") client_request.idempotency_key = "mark-" + name;
+    client_request.time_limit = 5'000 * io::kMs;
+    client_request.slo = 1'500 * io::kMs;
     std::string text;
-    for (int i = 0; i < words; ++i) text += "word ";
-    question.body = nlohmann::json{{"model", model},
-                                   {"messages", {{{"role", "user"}, {"content", text}}}},
-                                   {"prompt_cache_key", name},
-                                   {"max_tokens", 400},
-                                   {"metadata", {{"out", std::to_string(out)}}},
-                                   {"stream", stream}}
-                        .dump();
-    return question;
+    for (int i = 0; i < prompt_words; ++i) text += "word ";
+    client_request.body = nlohmann::json{
+        {"model", model},
+        {"messages", {{{"role", "user"}, {"content", text}}}},
+        {"prompt_cache_key", name},
+        {"max_tokens", 400},
+        {"metadata", {{"out", std::to_string(output_tokens)}}},
+        {"stream", stream}}.dump();
+    return client_request;
   }
-  // Sends a request and returns at once; its response is put into responses[name].
-  void send(rig::ClientRequest question) {
-    scope.spawn([](EngineFixture& fixture, rig::ClientRequest sent) -> io::Task<> {
-      const std::string name = sent.sequence;
-      fixture.responses[name] = co_await rig::send_request(fixture.loop, fixture.recorder, std::move(sent));
-    }(*this, std::move(question)));
+  // Sends a request and returns at once. Its result is stored in `responses` under its sequence.
+  void send(rig::ClientRequest client_request) {
+    scope.spawn([](EngineFixture& fixture, rig::ClientRequest sent_request) -> io::Task<> {
+      const std::string name = sent_request.sequence;
+      fixture.responses[name] =
+          co_await rig::send_request(fixture.loop, fixture.recorder, std::move(sent_request));
+    }(*this, std::move(client_request)));
   }
-  // Runs until that request has been answered.
+  // Runs until the response to that request has ended, and returns its result.
   const rig::ClientResult& response(const std::string& name) {
     const bool received = loop.run_until([&] { return responses.contains(name); });
     CHECK_MESSAGE(received, "no response for " << name);
     return responses[name];
   }
-  rig::Verdict verdict() const { return rig::check_rules(recorder.lines(), rule_book); }
+  // Checks the five rules on everything recorded so far.
+  rig::Verdict verdict() const { return rig::check_rules(recorder.lines(), rule_settings); }
   void check_rules_hold() const {
     const rig::Verdict result = verdict();
     CHECK_MESSAGE(result.passed(), result.text());
   }
+  // The number of events of that kind recorded so far, at that engine or, if it is empty, anywhere.
   int count_events(const std::string& event, const std::string& engine = "") const {
     return static_cast<int>(std::ranges::count_if(recorder.lines(), [&](const auto& line) {
       return line.value("e", "") == event && (engine.empty() || line.value("engine", "") == engine);
     }));
   }
-  // The events recorded since the fixture was ready, one a line, with their time in whole milliseconds.
+  // The events recorded since the fixture was ready, one per line, with their time in whole milliseconds.
   std::string trace() const {
     std::string out;
     for (const auto& line : recorder.lines()) {
@@ -233,7 +239,7 @@
   core::Log log;
   std::vector<std::unique_ptr<Engine>> engines;
   std::unique_ptr<router::Instance> router;
-  rig::RuleSettings rule_book;
+  rig::RuleSettings rule_settings;
   std::map<std::string, rig::ClientResult> responses;
   io::Nanos started_at{};
   io::Scope scope{loop};
--- a/tests/failure_test.cpp
+++ b/tests/failure_test.cpp
@@ -1,4 +1,4 @@
-// The classification of system call errors, one row per call and errno.
+// Tests the classification of system call errors, with one row per call and errno.
 #include "io/failure.h"
 
 #include <doctest/doctest.h>
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// The conversion of a worker's start from the wall-clock time that discovery reports to the monotonic clock.
-// The wall clock of this machine or of discovery's may have been stepped.
+// Tests the conversion of a worker's start time from the wall clock, by which discovery reports it, to the
+// monotonic clock. The wall clock of this machine or of the discovery service's may have been stepped.
 #include "router/fleet.h"
 
 #include <doctest/doctest.h>
@@ -38,7 +38,7 @@
     config.settings.kinds = {{Role::decode, 0}};
     fleet = std::make_unique<router::Fleet>(loop, config, log);
   }
-  // The wall clock without any step.
+  // The wall-clock time, without any step of the clock.
   io::Nanos wall_time() const { return loop.wall_clock_offset() + loop.now(); }
   void apply_list(io::Nanos started_at, bool complete = false) {
     core::WorkerList worker_list{++version, complete, {}};
--- a/tests/held_order_test.cpp
+++ b/tests/held_order_test.cpp
@@ -1,6 +1,6 @@
-// Random orders of events around held KV cache, each generated from a seed and run against the real router on
-// simulated time. Times are multiples of 5 ms, so that many events coincide in one poll of the sockets.
-// CRESSRILL_ORDER_SEEDS=from:to runs other seeds and prints how many of them broke which rule.
+// Random orders of events that affect held KV cache, each generated from a seed and run against the real
+// router on simulated time. Times are multiples of 5 ms, so that many events coincide in one poll of the
+// sockets. CRESSRILL_ORDER_SEEDS=from:to runs other seeds. The test prints how many seeds broke which rule.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <fmt/ranges.h>
 #include <sys/socket.h>
@@ -19,25 +19,26 @@
 
 using Finish = ScriptedResponse::Finish;
 
-// Recorded in KNOWN-RED.txt.
+// The kind of violation that KNOWN-RED.txt lists as a known failure.
 constexpr const char* kKnownFailure = "held too long, known red";
 
 constexpr io::Nanos kTimeStep = 5 * kMs;
-constexpr int kEventCountRange = 16;            // an order has 4 to 19 events
+constexpr int kEventCountRange = 16;            // a run has 4 to 19 events
 constexpr io::Nanos kKillDelay = 3'700 * kMs;   // from SIGTERM to SIGKILL
-constexpr io::Nanos kMaxOutage = 3'000 * kMs;   // after SIGTERM; silent links recover by then
-constexpr io::Nanos kLingerTime = 1'100 * kMs;  // run_node() waits as long for open connections
+constexpr io::Nanos kMaxOutage = 3'000 * kMs;   // after SIGTERM; by then silent links have recovered
+constexpr io::Nanos kLingerTime = 1'100 * kMs;  // run_node() waits as long for connections to close
 constexpr io::Nanos kMaxStall = 150 * kMs;
-constexpr io::Nanos kStallInterval = 1'500 * kMs;    // at least, from one stall of the event loop to the next
-constexpr io::Nanos kSettleTime = 14 * io::kSecond;  // at most, until the router is idle again
+constexpr io::Nanos kStallInterval = 1'500 * kMs;    // minimum, from one stall of the event loop to the next
+constexpr io::Nanos kSettleTime = 14 * io::kSecond;  // maximum, until the router is idle again
 
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed * 0x9e3779b97f4a7c15 + 1) {}
-  int below(int n) { return static_cast<int>(engine_() % static_cast<std::uint64_t>(n)); }
-  bool one_in(int n) { return below(n) == 0; }
-  // A random multiple of kTimeStep, at most `most` steps.
-  io::Nanos steps(int most) { return below(most + 1) * kTimeStep; }
+  int below(int bound) { return static_cast<int>(engine_() % static_cast<std::uint64_t>(bound)); }
+  // True with a probability of 1 in `count`.
+  bool one_in(int count) { return below(count) == 0; }
+  // A random multiple of kTimeStep, at most `max_steps` steps.
+  io::Nanos steps(int max_steps) { return below(max_steps + 1) * kTimeStep; }
   template <class T>
   T pick(std::initializer_list<T> values) {
     return values.begin()[below(static_cast<int>(values.size()))];
@@ -47,22 +48,22 @@
   std::mt19937_64 engine_;
 };
 
-// Router settings and number of workers of one run.
+// The router settings and the numbers of workers of one run.
 struct RunSettings {
-  int limit_ms{};
-  bool parallel{};
-  bool cancelling{};
-  std::string effect;
+  int limit_ms{};      // KV hold limit
+  bool parallel{};     // the router may make parallel attempts
+  bool cancelling{};   // the router may cancel attempts
+  std::string effect;  // whether requests may be repeated
   int attempts_cap{};
   int prefills{};
   int decodes{};
   json to_json() const {
-    json out = settings_with_hold_limit(limit_ms, parallel, cancelling);
-    out["caps"]["attemptsCap"] = attempts_cap;
-    json& service = out["services"][0];
+    json settings = settings_with_hold_limit(limit_ms, parallel, cancelling);
+    settings["caps"]["attemptsCap"] = attempts_cap;
+    json& service = settings["services"][0];
     service["effect"] = effect;
     if (effect == "dedup") service["windowMs"] = 2000.0;
-    return out;
+    return settings;
   }
   std::string to_string() const {
     return fmt::format(
@@ -81,7 +82,7 @@
           .decodes = 1 + random.below(3)};
 }
 
-// Passes the policy's actions on, and keeps the longest run time that the policy assumed for an attempt.
+// Forwards the policy's actions, and keeps the longest run time that the policy assumed for an attempt.
 class AssumedRunTimes final : public Actions {
  public:
   router::PolicyFactory policy_factory() {
@@ -90,10 +91,10 @@
       return make_policy(settings, seed, now, *this);
     };
   }
-  Nanos longest_run_time() const { return longest_; }
+  Nanos longest_run_time() const { return longest_run_time_; }
 
   void send(int request, int worker, AttemptLimits limits) override {
-    longest_ = std::max(longest_, limits.assumed_run_time);
+    longest_run_time_ = std::max(longest_run_time_, limits.assumed_run_time);
     actions_->send(request, worker, limits);
   }
   void release(int request) override { actions_->release(request); }
@@ -101,23 +102,23 @@
   void reject(int request, Nanos retry_after) override { actions_->reject(request, retry_after); }
   void abort(int request) override { actions_->abort(request); }
   void subscribe() override { actions_->subscribe(); }
-  void request_wakeup(Nanos after) override { actions_->request_wakeup(after); }
+  void request_wakeup(Nanos delay) override { actions_->request_wakeup(delay); }
   void forget_request(int request) override { actions_->forget_request(request); }
   void forget_worker(int worker) override { actions_->forget_worker(worker); }
 
  private:
   Actions* actions_{};
-  Nanos longest_{};
+  Nanos longest_run_time_{};
 };
 
-// A broken rule.
+// A violation of one of the rules that each run checks.
 struct Violation {
-  std::string kind;
+  std::string kind;  // the rule and how it was violated; the test's summary is grouped by it
   std::string detail;
 };
 
-// Measures for how long the KV cache of each request is held while none of its attempts is active at a
-// running worker, and reports each that exceeds the limit.
+// Measures for how long the KV cache of each request is held while none of the request's attempts is active
+// at a running worker, and reports each such time that exceeds the limit.
 class UnattendedHoldMonitor {
  public:
   UnattendedHoldMonitor(PlatformFixture& fixture, io::Nanos limit,
@@ -140,7 +141,7 @@
       hold.longest_unattended = std::max(hold.longest_unattended, fixture_.loop.now() - unattended_since);
     }
   }
-  // Checks what is still held at the end.
+  // Checks the KV cache that is still held at the end.
   void finish() {
     sample();
     for (const auto& [id, hold] : holds_) report_if_too_long(id, hold);
@@ -167,12 +168,13 @@
   io::Scope scope_;
 };
 
+// A client, and when and how it leaves.
 struct Client {
   enum class LeaveWhen { never, after_delay, before_response, after_response } leave_when{};
   enum class LeaveHow { close, reset, shutdown_write } leave_how{};
   std::string id;
-  io::Nanos leave_delay{};  // after its request, for LeaveWhen::after_delay
-  int response_index{};     // which response to its request it leaves at, from 0; counts down
+  io::Nanos leave_delay{};         // after its request, for LeaveWhen::after_delay
+  int responses_before_leaving{};  // number of workers' responses to its request before the one it leaves at
   io::Socket socket{};
   std::string received{};
   bool request_sent{};
@@ -180,7 +182,7 @@
   bool router_closed{};  // the router has closed the connection
 };
 
-// One random order of events, with the rules checked after it.
+// Runs one random order of events and then checks the rules.
 class RandomRun {
  public:
   explicit RandomRun(std::uint64_t seed)
@@ -217,21 +219,22 @@
 
   const std::vector<Violation>& violations() const { return violations_; }
   std::string report(std::uint64_t seed) const {
-    std::string out = fmt::format("seed {}: {}\n", seed, settings_.to_string());
+    std::string text = fmt::format("seed {}: {}\n", seed, settings_.to_string());
     for (const Violation& violation : violations_)
-      out += fmt::format("  BROKEN {}: {}\n", violation.kind, violation.detail);
-    for (const Line& line : trace_) out += "  " + format_line(line) + "\n";
-    return out;
+      text += fmt::format("  BROKEN {}: {}\n", violation.kind, violation.detail);
+    for (const Line& line : trace_) text += "  " + format_line(line) + "\n";
+    return text;
   }
 
  private:
+  // One line of the trace.
   struct Line {
     io::Nanos first_at{};
     io::Nanos last_at{};
     int count{};
     std::string text;
   };
-  // Adds a line to the trace; a release that repeats one of the last lines is counted there instead.
+  // Adds a line to the trace. A release that repeats one of the latest lines is counted in that line instead.
   void add_line(const std::string& line) {
     constexpr std::size_t kSearchedLines = 6;
     const bool is_release = line.find(": release of") != std::string::npos;
@@ -245,10 +248,10 @@
       trace_.push_back({fixture_.loop.now(), fixture_.loop.now(), 1, line});
   }
   std::string format_line(const Line& line) const {
-    std::string out = fmt::format("{:>6} ms  {}", (line.first_at - started_at_) / kMs, line.text);
+    std::string text = fmt::format("{:>6} ms  {}", (line.first_at - started_at_) / kMs, line.text);
     if (line.count > 1)
-      out += fmt::format(" ({} times, until {} ms)", line.count, (line.last_at - started_at_) / kMs);
-    return out;
+      text += fmt::format(" ({} times, until {} ms)", line.count, (line.last_at - started_at_) / kMs);
+    return text;
   }
   void add_violation(std::string kind, std::string detail) {
     add_line(fmt::format("BROKEN {}: {}", kind, detail));
@@ -264,8 +267,8 @@
     };
     worker.after_response = [this, &worker] { leave_at_response(worker, Client::LeaveWhen::after_response); };
   }
-  // Serves four requests, in one of three runs with slow prefills, so that the router learns how long
-  // prefills take.
+  // Sends four requests, in one of three runs with slow prefills, so that the router learns how long prefills
+  // take.
   void learn_worker_speed() {
     const io::Nanos prefill_time = random_.one_in(3) ? random_.below(settings_.limit_ms) / 5 * kTimeStep : 0;
     for (auto& worker : fixture_.workers)
@@ -278,13 +281,13 @@
     fixture_.run_for(1500);
     for (auto& worker : fixture_.workers) worker->script.clear();
   }
-  io::Nanos response_time() {
+  io::Nanos draw_response_time() {
     return random_.one_in(4) ? random_.steps(settings_.limit_ms / 3) : random_.steps(10);
   }
-  ScriptedResponse prefill_response() {
+  ScriptedResponse draw_prefill_response() {
     static const std::string complete_response =
         http::format_response(202, "", "{\"cached_tokens\":128}", true);
-    const io::Nanos delay = response_time();
+    const io::Nanos delay = draw_response_time();
     const bool leaves_kv = random_.one_in(2);
     ScriptedResponse scripted{.response = "",
                               .finish = Finish::keep_alive,
@@ -330,7 +333,7 @@
       case 9:
         scripted.leaves_kv = true;
         scripted.late_response = complete_response;
-        scripted.late_delay = response_time();
+        scripted.late_delay = draw_response_time();
         return scripted;
       default:
         scripted.use_default = true;
@@ -340,10 +343,10 @@
         return scripted;
     }
   }
-  ScriptedResponse decode_response() {
+  ScriptedResponse draw_decode_response() {
     static const std::string stream_start =
         FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0));
-    ScriptedResponse scripted{.response = "", .finish = Finish::keep_alive, .delay = response_time()};
+    ScriptedResponse scripted{.response = "", .finish = Finish::keep_alive, .delay = draw_response_time()};
     switch (random_.below(16)) {
       case 0:
         scripted.response = http::format_response(500, "", "", true);
@@ -388,7 +391,7 @@
         return scripted;
       case 11:
         scripted.finish = Finish::end_silently;
-        scripted.late_delay = response_time();
+        scripted.late_delay = draw_response_time();
         scripted.late_response = http::format_response(503, "X-Rejected: 1\r\n", "", true);
         return scripted;
       default:
@@ -402,7 +405,7 @@
     for (int i = 0; i < 12; ++i) {
       ScriptedResponse scripted{"", Finish::keep_alive, 0, true};
       if (random_.one_in(one_scripted_in))
-        scripted = worker.is_prefill ? prefill_response() : decode_response();
+        scripted = worker.is_prefill ? draw_prefill_response() : draw_decode_response();
       worker.script.push_back(scripted);
     }
     worker.release_response_delay = random_.one_in(4) ? random_.steps(6) : 0;
@@ -411,8 +414,9 @@
     return !worker.link_silent && !leaving_workers_.contains(worker.name);
   }
   bool is_another_reachable(const FakeWorker& excluded) const {
-    return std::ranges::any_of(fixture_.workers,
-                               [&](const auto& w) { return w.get() != &excluded && is_reachable(*w); });
+    return std::ranges::any_of(fixture_.workers, [&](const auto& worker) {
+      return worker.get() != &excluded && is_reachable(*worker);
+    });
   }
   FakeWorker& any_worker() {
     return *fixture_
@@ -462,7 +466,7 @@
   void leave_at_response(FakeWorker& worker, Client::LeaveWhen when) {
     for (auto& client : clients_) {
       if (client->id != worker.responding_to || client->leave_when != when || client->left) continue;
-      if (client->response_index-- == 0) leave(*client);
+      if (client->responses_before_leaving-- == 0) leave(*client);
     }
   }
   Client random_client(int budget_ms) {
@@ -471,12 +475,13 @@
                   .id = fmt::format("a{}", request_count_++),
                   .leave_delay = random_.one_in(4) ? budget_ms * kMs + random_.steps(20) - 10 * kTimeStep
                                                    : random_.steps(60),
-                  .response_index = random_.below(3)};
+                  .responses_before_leaving = random_.below(3)};
     return client;
   }
 
   // --- Events ---
 
+  // A random time between two events.
   io::Nanos random_gap() {
     return random_.one_in(3) ? 0 : random_.one_in(4) ? random_.steps(100) : random_.steps(8);
   }
@@ -518,7 +523,7 @@
     worker.link_silent = true;
     add_line("link of " + worker.name + " falls silent");
   }
-  // Silences the open connections to that worker for good; new ones work.
+  // Silences the connections to that worker that are open now, permanently; later ones work.
   void silence_connections(FakeWorker& worker) {
     if (worker.link_silent) return;
     worker.silent_connections = worker.accepted_connections;
@@ -541,7 +546,7 @@
     if (state == std::string("removed")) removed_workers_.insert(worker.name);
     fixture_.discovery.update(PlatformFixture::target(worker, state));
   }
-  // The KV cache that it holds is lost.
+  // Crashes a worker, so that the KV cache that it holds is lost.
   void crash(FakeWorker& worker) {
     if (!is_another_reachable(worker) || crashed_workers_.contains(worker.name)) return;
     add_line(worker.name + " crashes");
@@ -632,16 +637,18 @@
   void record_long_hold(const std::string& id, io::Nanos unattended) {
     const bool still_held = fixture_.kv_entries.contains(id);
     const io::Nanos limit = settings_.limit_ms * kMs;
-    const Nanos assumed = assumed_run_times_.longest_run_time();
+    const Nanos assumed_run_time = assumed_run_times_.longest_run_time();
+    // A router that has not received a prefill's response assumes that it runs for up to the assumed run
+    // time.
     const bool waits_for_late_prefill = settings_.effect != "fragile" &&
                                         fixture_.kv_entries.attempts[id].end_not_heard &&
-                                        unattended <= limit + kHoldLimitSlack + assumed;
-    const char* kind = still_held                ? "held for good"
-                       : !waits_for_late_prefill ? "held too long"
-                       : assumed > limit / 2     ? kKnownFailure
-                                                 : "held too long, short assumed run time";
+                                        unattended <= limit + kHoldLimitSlack + assumed_run_time;
+    const char* kind = still_held                     ? "held for good"
+                       : !waits_for_late_prefill      ? "held too long"
+                       : assumed_run_time > limit / 2 ? kKnownFailure
+                                                      : "held too long, short assumed run time";
     add_violation(kind, fmt::format("KV cache of {}: {} ms, limit {} ms, longest assumed run time {} ms", id,
-                                    unattended / kMs, settings_.limit_ms, assumed / kMs));
+                                    unattended / kMs, settings_.limit_ms, assumed_run_time / kMs));
   }
   void check_node() {
     const router::Host& host = fixture_.node->host();
@@ -657,7 +664,8 @@
   }
   void check_client(const Client& client) {
     std::size_t responses = 0;
-    for (std::size_t at = 0; (at = client.received.find("HTTP/1.1 ", at)) != std::string::npos; ++at)
+    for (std::size_t position = 0;
+         (position = client.received.find("HTTP/1.1 ", position)) != std::string::npos; ++position)
       ++responses;
     if (responses != 1)
       return add_violation(responses == 0 ? "no response" : "several responses",
@@ -686,6 +694,7 @@
   io::Scope scope_;
 };
 
+// The range of seeds to run, both included.
 struct Seeds {
   std::uint64_t from{1};
   std::uint64_t to{24};
@@ -694,16 +703,16 @@
   const char* text = std::getenv("CRESSRILL_ORDER_SEEDS");
   if (text == nullptr) return {};
   char* rest = nullptr;
-  Seeds out{.from = std::strtoull(text, &rest, 10)};
-  out.to = *rest == ':' ? std::strtoull(rest + 1, nullptr, 10) : out.from;
-  return out;
+  Seeds range{.from = std::strtoull(text, &rest, 10)};
+  range.to = *rest == ':' ? std::strtoull(rest + 1, nullptr, 10) : range.from;
+  return range;
 }
 
 }  // namespace
 
-// The known failure in KNOWN-RED.txt (issue 42) is counted and printed but does not fail this test: it has
-// its own test.
-TEST_CASE("random orders of events: no KV cache stays held unattended, and each client gets one answer") {
+// The known failure in KNOWN-RED.txt is counted and printed but does not fail this test, as
+// held_state_test.cpp has a test of it.
+TEST_CASE("random orders of events: no KV cache stays held unattended, and each client gets one response") {
   const Seeds range = seeds();
   constexpr std::size_t kTracesPerKind = 3;
   std::map<std::string, std::vector<std::uint64_t>> seeds_by_kind;
--- a/tests/kv_hold_monitor.h
+++ b/tests/kv_hold_monitor.h
@@ -1,4 +1,4 @@
-// Measures how long workers hold KV cache, with the settings, requests and checks that such tests share.
+// Monitors how long workers hold KV cache. Also the settings, requests and checks that tests of it share.
 #pragma once
 
 #include "platform_fixture.h"
@@ -7,7 +7,8 @@
 
 constexpr io::Nanos kHoldLimitSlack = 300 * kMs;  // tolerance past the KV hold limit
 
-// Samples every 5 ms which requests' KV cache is held at a worker, and keeps the longest time.
+// Samples every 5 ms which requests' KV cache is held at a worker, and keeps the longest time for which any
+// was held.
 class KvHoldMonitor {
  public:
   // unattended: leaves out the time in which a decode attempt that has arrived waits for the KV cache.
@@ -40,15 +41,15 @@
   io::Scope scope_;
 };
 
-// test_settings() with these values in place of its own.
+// Returns test_settings() with these values in place of its own.
 inline json settings_with_hold_limit(int limit_ms, bool parallel = true, bool cancelling = true,
                                      bool holds_allowed = false) {
-  json out = test_settings();
-  out["familyInfo"]["pinLimitMs"] = limit_ms;
-  out["familyInfo"]["holdsAllowed"] = holds_allowed;
-  out["caps"]["parallelTries"] = parallel;
-  out["caps"]["cancelling"] = cancelling;
-  return out;
+  json settings = test_settings();
+  settings["familyInfo"]["pinLimitMs"] = limit_ms;
+  settings["familyInfo"]["holdsAllowed"] = holds_allowed;
+  settings["caps"]["parallelTries"] = parallel;
+  settings["caps"]["cancelling"] = cancelling;
+  return settings;
 }
 
 // Sends requests so that the router has idle connections to all workers.
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-rig::Fault fault(const char* kind, double size = 0, int for_ms = 0) {
-  return {kind, size, for_ms * io::kMs, ""};
+rig::Fault fault(const char* kind, double size = 0, int duration_ms = 0) {
+  return {kind, size, duration_ms * io::kMs, ""};
 }
 
-// A server that answers the requests of each connection with the given texts in turn. After the last one it
-// closes or resets the connection, or keeps it open (hang) and closes it without an answer at the next
+// A server that sends the given responses to the requests of each connection in turn. After the last one it
+// closes or resets the connection, or keeps it open (hang) and closes it without a response at the next
 // request.
 class ScriptedPeer {
  public:
@@ -58,17 +58,17 @@
   io::Scope scope_;
 };
 
-// Lists a worker with that address in discovery.
-void list(EngineFixture& fixture, const std::string& name, const std::string& address, const char* kind,
-          WorkerStatus status = WorkerStatus::ready) {
+// Adds a worker with that address to the worker list.
+void list_worker(EngineFixture& fixture, const std::string& name, const std::string& address,
+                 const char* kind, WorkerStatus status = WorkerStatus::ready) {
   fixture.discovery.publish_change({name, address, status, 0, kind, "east", "e1"});
   fixture.run_for(5);
 }
 
 std::string stream_start() {
-  std::string out = http::format_stream_head(200, "content-type: text/event-stream\r\n", true);
-  append_chunk(out, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t0 \"}}]}\n\n");
-  return out;
+  std::string response = http::format_stream_head(200, "content-type: text/event-stream\r\n", true);
+  append_chunk(response, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t0 \"}}]}\n\n");
+  return response;
 }
 
 }  // namespace
@@ -103,7 +103,7 @@
   compare_trace("path_next_turn", fixture.trace());
 }
 
-TEST_CASE("an engine answers after its attempt was abandoned: one response, and the KV cache is released") {
+TEST_CASE("an engine responds after its attempt was abandoned: one response, and the KV cache is released") {
   EngineFixture fixture(2, 1);
   for (auto& engine : fixture.engines)
     if (engine->config().role == Role::prefill) engine->apply(fault("slow", 200, 4000));
@@ -150,15 +150,15 @@
     for (const auto finish : {ScriptedPeer::Finish::close, ScriptedPeer::Finish::reset}) {
       EngineFixture fixture(1, 0);
       ScriptedPeer peer(fixture, {truncated[i]}, finish);
-      list(fixture, "odd", peer.address(), "decode");
+      list_worker(fixture, "odd", peer.address(), "decode");
       fixture.send(fixture.request("a"));
-      const std::string how = fixture.response("a").outcome;
-      // A reset may discard unread bytes: the stream has not started then.
-      CHECK((how == "broken" || how == "rejected"));
-      if (i == 0) CHECK(how == "rejected");
-      if (i > 0 && finish == ScriptedPeer::Finish::close) CHECK(how == "broken");
+      const std::string outcome = fixture.response("a").outcome;
+      // A reset may discard bytes before the router reads them, so that no stream starts.
+      CHECK((outcome == "broken" || outcome == "rejected"));
+      if (i == 0) CHECK(outcome == "rejected");
+      if (i > 0 && finish == ScriptedPeer::Finish::close) CHECK(outcome == "broken");
       fixture.run_for(8000);
-      // Rule 1 alone: the peer streams without fetching the KV cache, so the other rules cannot be checked.
+      // Only rule 1 can be checked, as the peer streams without fetching the KV cache.
       CHECK(fixture.verdict().rules[0].violations == 0);
     }
 }
@@ -167,7 +167,7 @@
     "an invalid prefill response counts as that worker's error, and the request goes elsewhere or ends") {
   EngineFixture fixture(0, 1);
   ScriptedPeer peer(fixture, {http::format_response(200, "", "not json", true)}, ScriptedPeer::Finish::hang);
-  list(fixture, "odd", peer.address(), "prefill");
+  list_worker(fixture, "odd", peer.address(), "prefill");
   fixture.send(fixture.request("a"));
   CHECK(fixture.response("a").outcome == "rejected");
   fixture.check_rules_hold();
@@ -176,12 +176,12 @@
 TEST_CASE("a client leaves between prefill and decode: the KV cache is released in time") {
   EngineFixture fixture(1, 1);
   fixture.engine("writer-0").apply(fault("vanish", 0, 0));
-  rig::ClientRequest question = fixture.request("a");
+  rig::ClientRequest client_request = fixture.request("a");
   {
     io::Scope client(fixture.loop);
-    client.spawn([](EngineFixture& context, rig::ClientRequest sent) -> io::Task<> {
-      co_await rig::send_request(context.loop, context.recorder, std::move(sent));
-    }(fixture, question));
+    client.spawn([](EngineFixture& context, rig::ClientRequest sent_request) -> io::Task<> {
+      co_await rig::send_request(context.loop, context.recorder, std::move(sent_request));
+    }(fixture, client_request));
     fixture.run_until_recorded("held");
     fixture.run_for(20);
   }  // closes the connection of the client
@@ -197,19 +197,19 @@
     "an engine drains while a connection to it is being opened: no new attempt after the grace period") {
   EngineFixture fixture(1, 0);
   // A listener whose accept queue is full: the router's connect hangs.
-  io::Listener full(fixture.loop, kAnyPort, 0);
+  io::Listener full_listener(fixture.loop, kAnyPort, 0);
   std::vector<io::Socket> sockets(3);
-  io::Scope filling(fixture.loop);
+  io::Scope connecting(fixture.loop);
   for (io::Socket& socket : sockets)
-    filling.spawn([](io::Loop& loop, io::Address address, io::Socket& to) -> io::Task<> {
-      co_await io::connect(loop, address, to);
-    }(fixture.loop, full.address(), socket));
+    connecting.spawn([](io::Loop& loop, io::Address address, io::Socket& new_socket) -> io::Task<> {
+      co_await io::connect(loop, address, new_socket);
+    }(fixture.loop, full_listener.address(), socket));
   fixture.run_for(1);
-  list(fixture, "hung", full.address().to_string(), "decode");
+  list_worker(fixture, "hung", full_listener.address().to_string(), "decode");
   fixture.send(fixture.request("a"));
   fixture.run_until_recorded("held");
   fixture.run_for(50);
-  list(fixture, "hung", full.address().to_string(), "decode", WorkerStatus::draining);
+  list_worker(fixture, "hung", full_listener.address().to_string(), "decode", WorkerStatus::draining);
   CHECK(fixture.response("a").outcome == "rejected");
   fixture.run_for(1000);
   fixture.check_rules_hold();
@@ -238,10 +238,10 @@
     std::string stream = stream_start();
     append_chunk(stream, "data: [DONE]\n\n");
     ScriptedPeer peer(fixture, {stream + std::string(http::kLastChunk)}, ScriptedPeer::Finish::hang);
-    list(fixture, "odd", peer.address(), "decode");
+    list_worker(fixture, "odd", peer.address(), "decode");
     fixture.send(fixture.request("a", 1, "once"));
     CHECK(fixture.response("a").outcome == "generated");
-    fixture.send(fixture.request("b", 1, "once"));  // the peer reads it and closes without an answer
+    fixture.send(fixture.request("b", 1, "once"));  // the peer reads it and closes without a response
     CHECK(fixture.response("b").outcome == "aborted");
     CHECK(peer.requests() == 2);
     fixture.run_for(2000);
@@ -252,7 +252,7 @@
     std::string stream = stream_start();
     append_chunk(stream, "data: [DONE]\n\n");
     ScriptedPeer peer(fixture, {stream + std::string(http::kLastChunk)}, ScriptedPeer::Finish::close);
-    list(fixture, "odd", peer.address(), "decode");
+    list_worker(fixture, "odd", peer.address(), "decode");
     for (const char* name : {"a", "b", "c"}) {
       fixture.send(fixture.request(name, 1, "once"));
       CHECK(fixture.response(name).outcome == "generated");
@@ -263,12 +263,13 @@
   }
 }
 
-TEST_CASE("engines answer 503, with and without Retry-After: the request is rejected and may be retried") {
+TEST_CASE(
+    "engines respond with 503, with and without Retry-After: the request is rejected and may be retried") {
   for (const char* fields : {"", "retry-after: 1\r\n"}) {
     EngineFixture fixture(0, 1);
     ScriptedPeer peer(fixture, std::vector<std::string>(20, http::format_response(503, fields, "{}", true)),
                       ScriptedPeer::Finish::hang);
-    list(fixture, "full", peer.address(), "prefill");
+    list_worker(fixture, "full", peer.address(), "prefill");
     fixture.send(fixture.request("a", 4, "once"));
     CHECK(fixture.response("a").outcome == "rejected");
     CHECK(fixture.response("a").retry_after > 0);
@@ -277,16 +278,16 @@
 }
 
 TEST_CASE("all engines are full: each request is generated or rejected, none is lost") {
-  EngineFixture fixture(2, 2, make_policy, [](EngineConfig& make) {
-    make.slots = 1;
-    make.queue = 0;
+  EngineFixture fixture(2, 2, make_policy, [](EngineConfig& engine_config) {
+    engine_config.slots = 1;
+    engine_config.queue = 0;
   });
   for (int i = 0; i < 30; ++i) fixture.send(fixture.request("s" + std::to_string(i), 100));
-  std::map<std::string, int> how;
-  for (int i = 0; i < 30; ++i) ++how[fixture.response("s" + std::to_string(i)).outcome];
-  CHECK(how["rejected"] + how["generated"] == 30);
-  CHECK(how["rejected"] > 0);
-  CHECK(how["generated"] > 0);
+  std::map<std::string, int> outcome_counts;
+  for (int i = 0; i < 30; ++i) ++outcome_counts[fixture.response("s" + std::to_string(i)).outcome];
+  CHECK(outcome_counts["rejected"] + outcome_counts["generated"] == 30);
+  CHECK(outcome_counts["rejected"] > 0);
+  CHECK(outcome_counts["generated"] > 0);
   fixture.run_for(8000);
   fixture.check_rules_hold();
 }
@@ -301,7 +302,8 @@
 }
 
 TEST_CASE("a prefill worker crashes before its KV cache is transferred: the prefill runs again elsewhere") {
-  EngineFixture fixture(2, 1, make_policy, [](EngineConfig& make) { make.transfer_per_s = 300; });
+  EngineFixture fixture(2, 1, make_policy,
+                        [](EngineConfig& engine_config) { engine_config.transfer_per_s = 300; });
   fixture.send(fixture.request("a"));
   fixture.run_until_recorded("held");
   fixture.run_for(20);
@@ -392,9 +394,9 @@
 }
 
 TEST_CASE("many requests under faults of all kinds: every rule holds") {
-  EngineFixture fixture(3, 4, make_policy, [](EngineConfig& make) {
-    make.slots = 6;
-    make.queue = 6;
+  EngineFixture fixture(3, 4, make_policy, [](EngineConfig& engine_config) {
+    engine_config.slots = 6;
+    engine_config.queue = 6;
   });
   const std::pair<const char*, rig::Fault> faults[] = {
       {"reader-0", fault("crash", 0, 2000)},         {"writer-0", fault("vanish", 0, 3000)},
@@ -407,10 +409,10 @@
     fixture.engine(name).apply(engine_fault);
     for (int i = 0; i < 12; ++i, ++count) {
       static constexpr const char* kModels[] = {"m", "m", "tokened", "once"};
-      rig::ClientRequest question = fixture.request("s" + std::to_string(count), 15, kModels[count % 4],
-                                                    count % 5 != 0, 100 + 50 * (count % 7));
-      if (count % 9 == 0) question.leave_after_first = 30 * io::kMs;
-      fixture.send(question);
+      rig::ClientRequest client_request = fixture.request("s" + std::to_string(count), 15, kModels[count % 4],
+                                                          count % 5 != 0, 100 + 50 * (count % 7));
+      if (count % 9 == 0) client_request.leave_after_first = 30 * io::kMs;
+      fixture.send(client_request);
       fixture.run_for(40);
     }
   }
@@ -491,15 +493,15 @@
 }
 
 TEST_CASE(
-    "connections to fifty engines are opened at once: each request is answered within its latency SLO") {
+    "connections to fifty engines are opened at once: each request gets its first token within its SLO") {
   EngineFixture fixture(25, 25);
   for (int i = 0; i < 50; ++i) fixture.send(fixture.request(fmt::format("s{}", i), 4));
   std::set<std::string> engines;
   io::Nanos slowest = 0;
   for (int i = 0; i < 50; ++i) {
-    const rig::ClientResult& heard = fixture.response(fmt::format("s{}", i));
-    CHECK(heard.outcome == "generated");
-    slowest = std::max(slowest, heard.time_to_first_token);
+    const rig::ClientResult& result = fixture.response(fmt::format("s{}", i));
+    CHECK(result.outcome == "generated");
+    slowest = std::max(slowest, result.time_to_first_token);
   }
   for (const auto& line : fixture.recorder.lines())
     if (line.value("e", "") == "in") engines.insert(line.value("engine", ""));
@@ -512,30 +514,30 @@
   std::string traces[2];
   for (const bool with_slow_client : {false, true}) {
     EngineFixture fixture;
-    io::Scope reading(fixture.loop);
+    io::Scope slow_client(fixture.loop);
     if (with_slow_client) {
       // 2000 tokens for a client that reads none of them.
-      const rig::ClientRequest question = fixture.request("slow", 2'000);
-      reading.spawn([](EngineFixture& context, rig::ClientRequest sent) -> io::Task<> {
+      const rig::ClientRequest client_request = fixture.request("slow", 2'000);
+      slow_client.spawn([](EngineFixture& context, rig::ClientRequest sent_request) -> io::Task<> {
         io::Socket socket;
-        co_await io::connect(context.loop, sent.address, socket);
-        co_await socket.write_all(
-            http::format_request("POST", sent.path, sent.address.to_string(), "", sent.body));
+        co_await io::connect(context.loop, sent_request.address, socket);
+        co_await socket.write_all(http::format_request(
+            "POST", sent_request.path, sent_request.address.to_string(), "", sent_request.body));
         co_await context.loop.sleep_for(3'600 * io::kSecond);
-      }(fixture, question));
+      }(fixture, client_request));
     }
     fixture.run_for(200);
     for (int i = 0; i < 8; ++i) fixture.send(fixture.request(fmt::format("f{}", i), 30));
     for (int i = 0; i < 8; ++i) {
-      const rig::ClientResult& heard = fixture.response(fmt::format("f{}", i));
-      traces[with_slow_client] += fmt::format("f{} {} {} tokens, {} ms\n", i, heard.outcome, heard.tokens,
-                                              heard.elapsed / (100 * io::kMs) * 100);
+      const rig::ClientResult& result = fixture.response(fmt::format("f{}", i));
+      traces[with_slow_client] += fmt::format("f{} {} {} tokens, {} ms\n", i, result.outcome, result.tokens,
+                                              result.elapsed / (100 * io::kMs) * 100);
     }
   }
   CHECK(traces[0] == traces[1]);
 }
 
-TEST_CASE("the verdict detects a router that sends no final answers") {
+TEST_CASE("the verdict detects a router that sends no final responses") {
   EngineFixture fixture(1, 1, faulty_policy(1));
   for (auto& engine : fixture.engines) engine->apply(fault("fast_errors", 1, 20'000));
   fixture.send(fixture.request("a"));
@@ -546,15 +548,15 @@
 TEST_CASE("the verdict detects a router that repeats once-only requests") {
   EngineFixture fixture(1, 2, faulty_policy(2));
   // The decode worker starts to run the request and crashes before its stream's first bytes arrive.
-  rig::ClientRequest question = fixture.request("a", 40, "once");
-  fixture.send(question);
+  rig::ClientRequest client_request = fixture.request("a", 40, "once");
+  fixture.send(client_request);
   fixture.run_until_recorded("ran");
   for (const char* name : {"writer-0", "writer-1"})
     if (fixture.count_events("ran", name) > 0) fixture.engine(name).apply(fault("crash", 0, 0));
   CHECK(fixture.response("a").outcome != "generated");
-  question.id = "a.1";
+  client_request.id = "a.1";
   fixture.responses.clear();
-  fixture.send(question);  // the client retries, as it was told that the request had not run
+  fixture.send(client_request);  // the client retries, as it was told that the request had not run
   fixture.response("a");
   check_only_broken(fixture, 2);
 }
@@ -569,10 +571,10 @@
 }
 
 TEST_CASE("the verdict detects a router that ignores cold starts") {
-  EngineFixture fixture(1, 2, faulty_policy(4), [](EngineConfig& make) {
-    make.read_per_s = 4000;
-    make.ramp_ms = 20'000;
-    make.fall_multiple = 1.2;
+  EngineFixture fixture(1, 2, faulty_policy(4), [](EngineConfig& engine_config) {
+    engine_config.read_per_s = 4000;
+    engine_config.ramp_ms = 20'000;
+    engine_config.fall_multiple = 1.2;
   });
   fixture.engine("reader-0").apply(fault("crash", 0, 100));
   fixture.run_for(3000);
