--- a/router/fleet.h
+++ b/router/fleet.h
@@ -20,14 +20,14 @@
 // A worker as listed last, and its connections. All times are on the monotonic clock.
 struct WorkerEntry {
   core::ListedWorker listed;
-  int kind{};
-  int zone{};
-  int cell{};
+  int kind{};                             // index into RouterConfig::kind_names
+  int zone{};                             // index into RouterConfig::zones
+  int cell{};                             // index that the fleet assigns to each cell name
   std::uint64_t identity{};               // hash of its name
   io::Nanos not_ready_since{};            // when it was first listed as draining or gone; 0: it is ready
   std::uint64_t not_ready_version{};      // version of the list that first reported it so
   int not_ready_source{};                 // discovery agent that sent that list
-  io::Nanos started_at{};                 // 0: unknown, long ago
+  io::Nanos started_at{};                 // 0: unknown, assumed to be long ago
   std::uint64_t start_version{};          // version of the list that reported this start
   int start_source{};                     // discovery agent that sent that list
   io::Nanos last_heard{};                 // when its latest response was received
--- a/router/host.h
+++ b/router/host.h
@@ -47,7 +47,7 @@
   bool has_pending_releases() const { return releaser_.has_pending_release() || releaser_.has_open_calls(); }
   // Shortens the pauses between repeated releases, as the process is about to exit.
   void expedite_releases() { releaser_.expedite(); }
-  // Writes the traces of up to 64 active requests to the log.
+  // Writes the traces of the active requests to the log, up to a limit.
   void log_traces();
   core::Invariants& invariants() { return invariants_; }
   const core::Invariants& invariants() const { return invariants_; }
--- a/router/kv_releaser.h
+++ b/router/kv_releaser.h
@@ -22,8 +22,8 @@
 
 class KvReleaser {
  public:
-  // on_released is called when a worker has confirmed that nothing is held any more for a request that is not
-  // over.
+  // on_released is called when a worker has confirmed a release that the policy did not order, of a request
+  // that is not over, and a further decode attempt would find no KV cache.
   KvReleaser(io::Loop& loop, Fleet& fleet, core::Log& log, core::Counters& counters,
              core::Invariants& invariants, TraceWriter& trace_writer, io::Nanos hold_limit,
              std::function<void(const KvLease&)> on_released);
@@ -32,7 +32,8 @@
   std::shared_ptr<KvLease> open_lease(std::string request_id, std::unique_ptr<Exchange> exchange) const {
     return std::make_shared<KvLease>(loop_, hold_limit_, std::move(request_id), std::move(exchange));
   }
-  // Records an event of the request, or of one of its attempts, that happens now.
+  // Records an event of the request, or of one of its attempts, that happens now. assumed_run_time: for how
+  // long a prefill whose end is not known is assumed to run.
   void record(const std::shared_ptr<KvLease>& lease, HoldEvent event);
   void record_attempt(const std::shared_ptr<KvLease>& lease, HoldEvent event, int attempt, int worker,
                       io::Nanos assumed_run_time);
@@ -102,7 +103,9 @@
     std::weak_ptr<KvLease> lease;
   };
   struct LaterCheck {
-    bool operator()(const ScheduledCheck& a, const ScheduledCheck& b) const { return a.due_at > b.due_at; }
+    bool operator()(const ScheduledCheck& left, const ScheduledCheck& right) const {
+      return left.due_at > right.due_at;
+    }
   };
   std::priority_queue<ScheduledCheck, std::vector<ScheduledCheck>, LaterCheck> scheduled_checks_;
   io::Signal earlier_check_added_;
