--- a/core/checked_toml.cpp
+++ b/core/checked_toml.cpp
@@ -15,10 +15,10 @@
   errors_->push_back(error_at(key, message));
 }
 
-const toml::node* TomlTable::find(const char* key, bool required, const char* kind) {
+const toml::node* TomlTable::find(const char* key, bool required, const char* expected_type) {
   known_keys_.insert(key);
   const toml::node* node = table_->get(key);
-  if (node == nullptr && required) add_error(key, std::string("is missing (") + kind + ")");
+  if (node == nullptr && required) add_error(key, std::string("is missing (") + expected_type + ")");
   return node;
 }
 
--- a/core/checked_toml.h
+++ b/core/checked_toml.h
@@ -22,9 +22,9 @@
 using ConfigErrors = std::vector<ConfigError>;
 
 // A table of a TOML file. A getter reports a missing key (unless it has a default), a wrong type or a value
-// out of range as an error and then returns the default or, without one, a placeholder. Every key that a
-// getter was called for counts as known; report_unknown_keys() reports the rest. The TOML table and the list
-// of errors must outlive this object.
+// out of range as an error and then returns the default or, without one, a placeholder. Each key that a
+// getter was called for counts as known; report_unknown_keys() reports the others. The TOML table and the
+// list of errors must outlive this object.
 class TomlTable {
  public:
   TomlTable(const toml::table& table, std::string name, std::string file, ConfigErrors& errors)
@@ -63,7 +63,7 @@
   }
   std::optional<TomlTable> table(const char* key, bool required);
   std::vector<TomlTable> tables(const char* key, bool required);
-  // Marks a key as known without reading it, because other code does.
+  // Marks a key as known without reading it, because other code reads it.
   void ignore(const char* key) { known_keys_.insert(key); }
   // Reports each key that no getter was called for.
   void report_unknown_keys();
@@ -72,9 +72,9 @@
   void add_error(const char* key, const std::string& message);
 
  private:
-  const toml::node* find(const char* key, bool required, const char* kind);
+  const toml::node* find(const char* key, bool required, const char* expected_type);
   const toml::table* table_;
-  std::string name_;
+  std::string name_;  // for messages; empty for the root table
   std::string file_;
   ConfigErrors* errors_;
   std::set<std::string, std::less<>> known_keys_;
--- a/core/classify.cpp
+++ b/core/classify.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
+// Whether a condition of a rule is met; an empty one always is.
 bool empty_or_contains(const std::vector<std::string>& list, std::string_view value) {
   return list.empty() || std::ranges::find(list, value) != list.end();
 }
 
+// Returns the index of the first rule that matches, or -1.
 int find_type(const RouterConfig& config, const ParsedRequest& request, std::string_view path,
               HeaderFields fields) {
   for (std::size_t i = 0; i < config.type_rules.size(); ++i) {
@@ -22,6 +24,7 @@
   return -1;
 }
 
+// Returns the index of the tenant whose API key the request carries, or -1.
 int find_tenant(const RouterConfig& config, HeaderFields fields) {
   const std::string_view bearer = find_header(fields, "authorization").value_or("");
   const std::string_view key = bearer.starts_with("Bearer ") ? bearer.substr(7) : std::string_view{};
@@ -59,12 +62,13 @@
       rule.time_limit +
       static_cast<Nanos>(result.prompt_tokens / 1000 * static_cast<double>(rule.time_limit_per_1000_tokens));
   if (const auto header = find_header(fields, "x-abandon-after-ms")) {
-    long long ms = 0;
-    const auto [end, error] = std::from_chars(header->data(), header->data() + header->size(), ms);
-    if (error != std::errc{} || end != header->data() + header->size() || ms < 1 || ms > 86'400'000)
+    long long limit_ms = 0;
+    const auto [end, error] = std::from_chars(header->data(), header->data() + header->size(), limit_ms);
+    if (error != std::errc{} || end != header->data() + header->size() || limit_ms < 1 ||
+        limit_ms > 86'400'000)  // a day
       return RequestError{400, "invalid_value", "x-abandon-after-ms",
                           "The field must be a number of milliseconds from 1 on."};
-    result.time_limit = std::min<Nanos>(result.time_limit, ms * 1'000'000);
+    result.time_limit = std::min<Nanos>(result.time_limit, limit_ms * 1'000'000);
   }
   return result;
 }
--- a/core/classify.h
+++ b/core/classify.h
@@ -11,17 +11,16 @@
 
 struct ClassifiedRequest {
   int type{};
-  // Index into RouterConfig::tenants. If none are configured it is 0, and all traffic is within the share.
+  // Index into RouterConfig::tenants; 0 if none are configured, and then every request is within the share.
   int tenant{};
   double prompt_tokens{};
-  double prefix_tokens{};  // of the prefix that the prompt shares with others
+  double prefix_tokens{};  // of the prefix that the prompt may share with others
   double max_output_tokens{};
   Nanos time_limit{};  // from the arrival of the request on
 };
 
-// Returns the error to answer with if the API key is unknown, no traffic type matches or 'x-abandon-after-ms'
-// is invalid. path: without the query. The header 'x-abandon-after-ms' can shorten the time limit of the
-// traffic type, not extend it.
+// Returns an error response if the API key is unknown, no traffic type matches or 'x-abandon-after-ms' is
+// invalid. That header can shorten the time limit of the traffic type, not extend it. path: without query.
 std::variant<ClassifiedRequest, RequestError> classify(const RouterConfig& config,
                                                        const TokenEstimator& estimator,
                                                        const ParsedRequest& request, std::string_view path,
--- a/core/counters.h
+++ b/core/counters.h
@@ -14,6 +14,7 @@
 
 namespace cressrill::core {
 
+// Holds every metric of one router. Not thread-safe.
 class Counters {
   template <class Metric>
   prometheus::Family<Metric>& family(prometheus::detail::Builder<Metric> builder, const char* name,
@@ -21,16 +22,17 @@
     return builder.Name(name).Help(help).Register(registry_);
   }
 
-  // A metric and the values of its labels. A linear search suffices: there are few of them, and each request
-  // looks them up.
+  // A metric and the values of its labels. There are so few of them that each request can look them up by
+  // linear search.
   template <class Metric>
   struct LabeledMetric {
-    std::string_view first_label, second_label;
+    std::string_view first_label;
+    std::string_view second_label;
     Metric* metric;
   };
-  template <class Metric, class Make>
+  template <class Metric, class AddMetric>
   static Metric& find_or_add(std::vector<LabeledMetric<Metric>>& metrics, std::string_view first_label,
-                             std::string_view second_label, Make add) {
+                             std::string_view second_label, AddMetric add) {
     for (const LabeledMetric<Metric>& entry : metrics)
       if (entry.first_label == first_label && entry.second_label == second_label) return *entry.metric;
     return *metrics.emplace_back(LabeledMetric<Metric>{first_label, second_label, &add()}).metric;
@@ -61,19 +63,19 @@
       return violations_.Add({{"invariant", std::string(invariant)}});
     }).Increment();
   }
-  // A system call that failed for a reason other than the peer, and from which the process recovered. error:
-  // its errno.
+  // A system call that failed, not because of the peer, and from which the process recovered. error: its
+  // errno.
   void count_call_failure(std::string_view call, int error) {
     call_failures_.Add({{"call", std::string(call)}, {"errno", std::to_string(error)}}).Increment();
   }
   void count_task_failure() { task_failures_.Add({}).Increment(); }
-  // An attempt that was called off just before its first byte was written.
+  // An attempt that was cancelled just before its first byte was written.
   void count_attempt_not_started(std::string_view reason) {
     find_or_add(not_started_counters_, reason, {}, [&]() -> prometheus::Counter& {
       return attempts_not_started_.Add({{"reason", std::string(reason)}});
     }).Increment();
   }
-  // A client connection that this process closed.
+  // The end of a client connection. reason: as returned by to_string(http::ConnectionEnd).
   void count_connection_end(std::string_view reason) {
     find_or_add(connection_end_counters_, reason, {}, [&]() -> prometheus::Counter& {
       return connection_ends_.Add({{"reason", std::string(reason)}});
@@ -117,8 +119,11 @@
   prometheus::Family<prometheus::Counter>& connection_ends_ =
       family(prometheus::BuildCounter(), "cressrill_connections_ended_total",
              "clients' connections that were ended");
-  std::vector<LabeledMetric<prometheus::Counter>> answer_counters_, attempt_counters_, violation_counters_,
-      not_started_counters_, connection_end_counters_;
+  std::vector<LabeledMetric<prometheus::Counter>> answer_counters_;
+  std::vector<LabeledMetric<prometheus::Counter>> attempt_counters_;
+  std::vector<LabeledMetric<prometheus::Counter>> violation_counters_;
+  std::vector<LabeledMetric<prometheus::Counter>> not_started_counters_;
+  std::vector<LabeledMetric<prometheus::Counter>> connection_end_counters_;
   std::vector<LabeledMetric<prometheus::Histogram>> first_token_histograms_;
 };
 
--- a/core/invariants.h
+++ b/core/invariants.h
@@ -1,7 +1,7 @@
-// Run-time checks of the rules that the router has to keep. Guards (router/attempt_guard.h) decide before an
-// action; an invariant is checked after it, against the limit that the rule states, and a violation is
-// counted and logged. No violation is expected in operation: one means a defect, or a process that was
-// stopped for longer than the rules allow for. Uses no sockets and no clock.
+// Run-time checks of the rules that the router has to keep. A guard (router/attempt_guard.h) decides before
+// an action; an invariant is checked after it against the rule's own limit, and a violation is counted and
+// logged. A violation means a defect, or a process that was stopped for longer than the rules allow for. Uses
+// no sockets and no clock.
 #pragma once
 
 #include <array>
--- a/core/log.h
+++ b/core/log.h
@@ -1,5 +1,5 @@
 // Structured logging to standard error, one JSON object per line. A line below the log level costs one
-// comparison; other lines are formatted directly, without building a JSON document.
+// comparison; other lines are formatted without building a JSON document.
 #pragma once
 
 #include <fmt/format.h>
@@ -18,6 +18,7 @@
 
 namespace cressrill::core {
 
+// Not thread-safe: a line is formatted in a buffer that the next one reuses.
 class Log {
  public:
   // instance: the name of this process, written in every line. level: trace, debug, info, warn, error or off.
@@ -30,12 +31,13 @@
     logger_.flush_on(spdlog::level::info);
   }
 
+  // The value of a field. Refers to the text that it is made from.
   struct Value {
-    Value(std::string_view v) : value(v) {}
-    Value(const std::string& v) : value(std::string_view(v)) {}
-    Value(const char* v) : value(std::string_view(v)) {}
-    Value(std::integral auto v) : value(static_cast<long long>(v)) {}
-    Value(double v) : value(v) {}
+    Value(std::string_view text) : value(text) {}
+    Value(const std::string& text) : value(std::string_view(text)) {}
+    Value(const char* text) : value(std::string_view(text)) {}
+    Value(std::integral auto integer) : value(static_cast<long long>(integer)) {}
+    Value(double number) : value(number) {}
     std::variant<std::string_view, long long, double> value;
   };
   struct Field {
--- a/core/log_sink.h
+++ b/core/log_sink.h
@@ -20,13 +20,14 @@
 
 class LogSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  // instance: the name of this process as a JSON string, for the line that reports dropped ones. The sink
+  // instance: the name of this process as a JSON string, for the line that reports dropped lines. The sink
   // does not close the descriptor.
   LogSink(std::string instance, int descriptor) : instance_(std::move(instance)), descriptor_(descriptor) {
     struct stat status {};
     const bool has_status = ::fstat(descriptor, &status) == 0;
     may_block_ = !has_status || !S_ISREG(status.st_mode);
   }
+  // Number of lines dropped since the last one that was written.
   std::uint64_t lost_lines() const { return lost_lines_; }
 
  protected:
@@ -67,8 +68,8 @@
 
   std::string instance_;
   int descriptor_;
-  bool may_block_{};
-  bool partial_line_{};
+  bool may_block_{};     // the descriptor is not a regular file
+  bool partial_line_{};  // the last write ended within a line
   std::uint64_t lost_lines_{};
 };
 
--- a/core/parsed_request.cpp
+++ b/core/parsed_request.cpp
@@ -31,6 +31,7 @@
 
 namespace {
 
+// Never returns 0, which stands for "none".
 std::uint64_t hash(std::string_view text, std::uint64_t seed = 0) {
   const std::uint64_t value = XXH3_64bits_withSeed(text.data(), text.size(), seed);
   return value == 0 ? 1 : value;
@@ -38,13 +39,17 @@
 
 // Thrown to stop parsing; parse_request() turns it into a RequestError.
 struct ParseFailure {
-  std::string code, param, message;
+  std::string code;
+  std::string param;
+  std::string message;
 };
 
+// param: the member of the body that is at fault, or empty.
 [[noreturn]] void fail(std::string param, std::string message, std::string code = "invalid_value") {
   throw ParseFailure{std::move(code), std::move(param), std::move(message)};
 }
 
+// Returns the value of a result, or fails. expected: what the member has to be, for the message.
 template <class T>
 T require(simdjson::simdjson_result<T> result, const char* param, const char* expected) {
   T value;
@@ -62,13 +67,14 @@
 
 [[noreturn]] void fail_invalid_json() { fail("", "The body is not valid JSON.", "invalid_json"); }
 
+// depth: nesting depth of the value in the body.
 void require_valid_json(od::value value, int depth) {
   const JsonValidity validity = validate_json(value, depth);
   if (validity == JsonValidity::too_deep) fail("", "The body is nested too deeply.", "invalid_json");
   if (validity == JsonValidity::invalid) fail_invalid_json();
 }
 
-// Buffers that a thread reuses from one request to the next, so that parsing does not allocate them again.
+// Buffers that a thread reuses from one request to the next, so that parsing a request allocates none.
 struct ParserBuffers {
   od::parser parser;
   std::vector<std::string_view> keys;
@@ -178,7 +184,7 @@
     if (is_string && tokens > 0) fail("prompt", "'prompt' mixes texts and token ids.");
     if (!is_string) {
       request.prompt_tokens = tokens;
-      request.prompt_bytes = tokens * 4;
+      request.prompt_bytes = tokens * 4;  // an assumed size of 4 bytes per token
     }
   } else {
     fail("prompt", "'prompt' must be a text or a list of token ids.");
@@ -220,7 +226,7 @@
   request.forwarded_members.push_back({offset, member.size()});
 }
 
-void parse(ParsedRequest& request, HeaderFields fields, ParserBuffers& buffers) {
+void parse_body(ParsedRequest& request, HeaderFields fields, ParserBuffers& buffers) {
   const Api api = request.api;
   request.body.reserve(request.body.size() + simdjson::SIMDJSON_PADDING);
   buffers.keys.clear();
@@ -235,12 +241,12 @@
     if (!nlohmann::json::accept(request.body)) fail_invalid_json();
     fail("", "The body must be a JSON object.", "invalid_json");
   }
-  std::uint64_t prefix = 0;
+  std::uint64_t messages_prefix_hash = 0;
   bool has_prompt = false;
   std::optional<std::string_view> cache_key;
   for (auto member : object) {
     od::field entry = require(std::move(member), "body", "well formed");
-    const char* member_start = entry.key().raw() - 1;
+    const char* member_start = entry.key().raw() - 1;  // the opening quote of the key
     const std::string_view key = require(entry.unescaped_key(), "body", "well formed");
     buffers.keys.push_back(key);
     od::value value = entry.value();
@@ -265,7 +271,7 @@
       else if (key == "prompt_cache_key")
         cache_key = require(value.get_string(), "prompt_cache_key", "a text");
       else if (key == "messages" && api == Api::chat)
-        prefix = parse_messages(value, request, buffers);
+        messages_prefix_hash = parse_messages(value, request, buffers);
       else if (key == "prompt" && api == Api::completion) {
         has_prompt = true;
         parse_prompt(value, request);
@@ -283,7 +289,7 @@
     fail("messages", "'messages' is missing.", "missing_value");
   if (api == Api::completion && !has_prompt) fail("prompt", "'prompt' is missing.", "missing_value");
   if (request.prefix_bytes > 0)
-    request.prefix_hash = std::max<std::uint64_t>(1, prefix ^ hash(request.model));
+    request.prefix_hash = std::max<std::uint64_t>(1, messages_prefix_hash ^ hash(request.model));
   if (!cache_key) cache_key = find_header(fields, "x-session-id");
   if (cache_key && !cache_key->empty()) request.session_hash = hash(*cache_key, hash(request.model, 1));
 }
@@ -297,11 +303,11 @@
   request.api = api;
   request.body = std::move(body);
   try {
-    parse(request, fields, buffers);
+    parse_body(request, fields, buffers);
     return std::variant<ParsedRequest, RequestError>(std::move(request));
   } catch (const ParseFailure& failure) {
-    // Simdjson reads on demand, so another error can be met before a syntax error; invalid JSON takes
-    // precedence.
+    // simdjson reads on demand, so another error may be found before a syntax error that follows it. Invalid
+    // JSON takes precedence.
     if (failure.code != "invalid_json" && !nlohmann::json::accept(request.body))
       return RequestError{400, "invalid_json", "", "The body is not valid JSON."};
     return RequestError{400, failure.code, failure.param, failure.message};
@@ -317,6 +323,7 @@
 
 namespace {
 
+// Sets the parts of the body: the forwarded members, then the tail.
 void join_parts(const ParsedRequest& request, EngineBody& body) {
   body.parts.clear();
   body.parts.push_back("{");
--- a/core/parsed_request.h
+++ b/core/parsed_request.h
@@ -14,12 +14,14 @@
 
 namespace cressrill::core {
 
+// chat: POST /v1/chat/completions; completion: POST /v1/completions.
 enum class Api { chat, completion };
 
 using HeaderFields = std::span<const std::pair<std::string_view, std::string_view>>;  // names in lower case
 // Returns the value of the first header of that name.
 std::optional<std::string_view> find_header(HeaderFields fields, std::string_view name);
 
+// A part of the body, in bytes.
 struct TextRange {
   std::size_t offset{};
   std::size_t size{};
@@ -33,7 +35,7 @@
   std::uint64_t session_hash{};              // of the session's id; 0: none
   std::uint64_t prefix_hash{};               // of the leading system messages; 0: none
   std::size_t prompt_bytes{};
-  std::size_t prefix_bytes{};
+  std::size_t prefix_bytes{};  // of the leading system messages
   std::size_t message_count{};
   std::optional<std::size_t> prompt_tokens;  // known only if the prompt is a list of token ids
   std::optional<std::size_t> max_output_tokens;
@@ -45,7 +47,7 @@
 struct RequestError {
   int status{};
   std::string code;
-  std::string param;
+  std::string param;  // the member or header that is at fault, or empty
   std::string message;
   std::string body() const;
 };
@@ -62,8 +64,8 @@
 // other. The parts are views of the parsed request and of tail, and are valid as long as both are unchanged.
 struct EngineBody {
   boost::container::small_vector<std::string_view, 12> parts;
-  std::string tail;
-  std::size_t bytes{};
+  std::string tail;     // the members that the router adds, and the closing brace
+  std::size_t bytes{};  // of all parts together
   std::string text() const;
 };
 void build_prefill_body(const ParsedRequest& request, EngineBody& body);
--- a/core/router_config.cpp
+++ b/core/router_config.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-constexpr double kHourMs = 3'600'000;
+constexpr double kHourMs = 3'600'000;  // upper bound of most durations
 
 // Checks the form "127.0.0.1:8080" only: this module is built without the socket code.
 void check_address(TomlTable& table, const char* key, const std::string& text) {
-  unsigned octet[4]{}, port = 0;
+  unsigned octet[4]{};
+  unsigned port = 0;
   char trailing = 0;
   const int matched = std::sscanf(text.c_str(), "%3u.%3u.%3u.%3u:%5u%c", &octet[0], &octet[1], &octet[2],
                                   &octet[3], &port, &trailing);
@@ -166,7 +167,7 @@
   read_bounds(bounds ? *bounds : default_bounds, config);
   if (auto table = root.table("rules", true)) {
     read_rules(*table, config);
-    // Rule 3: a connection that is being set up when a drain is announced may still carry a request once it
+    // Rule 3: a connection that is being set up when a drain is announced may still carry a request, once it
     // is established.
     if (config.dial_timeout + config.settings.tick >= config.drain_grace)
       table->add_error("drain_grace_ms",
--- a/core/router_config.h
+++ b/core/router_config.h
@@ -27,28 +27,29 @@
   std::vector<std::string> api_keys;  // accepted as bearer tokens in 'authorization'
 };
 
+// All durations in nanoseconds.
 struct RouterConfig {
   std::string name;
   std::string listen_address;
   std::string admin_address;      // empty: none
   std::string discovery_address;  // where the worker list is fetched from
-  std::string last_list_path;     // file that keeps the last worker list over a restart; empty: none
+  std::string last_list_path;     // file that keeps the last worker list across restarts; empty: none
   std::string log_level;
   std::size_t max_body_bytes{};
   std::size_t max_head_bytes{};
   std::size_t max_connections{};
-  int default_max_output_tokens{};  // assumed if a request sets no limit
-  Nanos dial_timeout{};
+  int default_max_output_tokens{};           // assumed if a request sets no limit
+  Nanos dial_timeout{};                      // for connecting to an engine
   Nanos idle_timeout{};                      // after which an idle engine connection is closed
-  Nanos min_idle_before_reuse{};             // before an engine connection is used again
+  Nanos min_idle_before_reuse{};             // idle time before an engine connection may be used again
   std::size_t max_connections_per_engine{};  // to each engine
   std::size_t max_engine_connections{};      // to all engines together; 0: unlimited
   Nanos stall_timeout{};                     // after which a stream without progress counts as broken
-  Nanos drain_grace{};
-  Nanos shutdown_timeout{};  // for requests in progress at SIGTERM
+  Nanos drain_grace{};                       // how long a draining worker may still be sent requests
+  Nanos shutdown_timeout{};                  // for requests in progress at SIGTERM
   std::vector<std::string> zones;
   std::vector<std::string> kind_names;
-  ConfigErrors unused_kind_errors;          // one per kind, reported if no worker of a list is of it
+  ConfigErrors unused_kind_errors;          // one per kind, reported if a list has no worker of that kind
   std::vector<TrafficTypeRule> type_rules;  // same indices as settings.types
   std::vector<Tenant> tenants;              // same indices as settings.tenant_rates
   PolicySettings settings;
--- a/core/tokens.cpp
+++ b/core/tokens.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 constexpr double kPriorTokensPerByte = 0.25;
-constexpr double kPriorBytes = 4'000;  // weight of the prior: about one short prompt
-constexpr double kTokensPerMessage = 4;
+constexpr double kPriorBytes = 4'000;       // weight of the prior: about one short prompt
+constexpr double kTokensPerMessage = 4;     // added to those of its text
 constexpr double kDecayPerResponse = 0.98;  // the last 50 or so responses dominate the sums
 constexpr std::size_t kMaxModels = 256;     // model names come from clients, so their number is limited
 }  // namespace
--- a/core/tokens.h
+++ b/core/tokens.h
@@ -8,8 +8,8 @@
 
 namespace cressrill::core {
 
-// Keeps two decayed sums for each model: tokens counted by engines and bytes sent to them. Until responses
-// have been learned from, a token is taken to be four bytes; each message counts four tokens in addition.
+// Keeps two decayed sums for each model: tokens counted by engines and bytes sent to them. Until the first
+// response, a token is taken to be four bytes. Each message adds four tokens.
 class TokenEstimator {
  public:
   double estimate(const std::string& model, std::size_t bytes, std::size_t message_count) const;
--- a/core/worker_list.h
+++ b/core/worker_list.h
@@ -25,8 +25,8 @@
   std::uint64_t version{};
   bool complete{};  // false: only the workers that have changed
   std::vector<ListedWorker> workers;
-  // Which source it came from: 0 for a list kept over a restart, then a number for each discovery server in
-  // the order of their use. A later source may know less than an earlier one.
+  // Where it came from: 0 for a list kept across a restart, then 1 and up for the discovery servers in the
+  // order of their use. A later source may know less than an earlier one.
   int source{};
 };
 
