--- a/profile/profile.cpp
+++ b/profile/profile.cpp
@@ -23,6 +23,7 @@
   return out;
 }
 
+// Looks up settings by their path. Throws SettingsError if a value is invalid or a required one is missing.
 class SettingsReader {
  public:
   explicit SettingsReader(std::string_view text) {
@@ -85,8 +86,8 @@
 
 void decode_types(const SettingsReader& reader, PolicySettings& result) {
   const std::vector<double> slo_us_per_1000 = reader.numbers("familyInfo.aimUsPer1000PromptTokens");
-  const auto count = static_cast<std::size_t>(reader.number("services.count"));
-  for (std::size_t i = 0; i < count; ++i) {
+  const auto type_count = static_cast<std::size_t>(reader.number("services.count"));
+  for (std::size_t i = 0; i < type_count; ++i) {
     const std::string prefix = "services." + std::to_string(i) + ".";
     TrafficType type;
     type.effect = choice<Effect>(
@@ -97,14 +98,14 @@
                                  {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
     type.window = nanos(reader.number_or_zero(prefix + "windowMs"));
     type.slo = nanos(reader.number(prefix + "goalTimeMs"));
-    type.slo_per_1000_tokens = nanos(value_or_zero(slo_us_per_1000, i) / 1000.0);
+    type.slo_per_1000_tokens = nanos(value_or_zero(slo_us_per_1000, i) / 1000.0);  // from us to ms
     type.utility = reader.number(prefix + "worth");
     result.types.push_back(type);
   }
 }
 
 void decode_kinds(const SettingsReader& reader, PolicySettings& result) {
-  const std::vector<double> memory = reader.numbers("familyInfo.memoryTokens");
+  const std::vector<double> memory_tokens = reader.numbers("familyInfo.memoryTokens");
   const std::vector<std::string> roles = split_list(reader.required_string("familyInfo.dutyByKind"));
   for (std::size_t i = 0; i < roles.size(); ++i) {
     WorkerKind kind;
@@ -117,11 +118,12 @@
     } else {
       throw SettingsError("settings: 'familyInfo.dutyByKind' has '" + roles[i] + "', which is not known");
     }
-    kind.memory_tokens = value_or_zero(memory, i);
+    kind.memory_tokens = value_or_zero(memory_tokens, i);
     result.kinds.push_back(kind);
   }
 }
 
+// Finds the columns of a load report that hold the number of requests and the share of memory.
 void decode_report(const SettingsReader& reader, DeploymentSettings& result) {
   const std::vector<std::string> columns = split_list(reader.find("stats.columns").value_or(""));
   const bool x0_is_memory = reader.find("familyInfo.reportX0") == "share_of_memory_that_is_held";
@@ -147,8 +149,8 @@
         reader.find("services." + std::to_string(i) + ".name").value_or(std::to_string(i)));
   decode_kinds(reader, policy);
   decode_report(reader, result);
-  const auto tenants = static_cast<std::size_t>(reader.number_or_zero("tenants.count"));
-  for (std::size_t i = 0; i < tenants; ++i) {
+  const auto tenant_count = static_cast<std::size_t>(reader.number_or_zero("tenants.count"));
+  for (std::size_t i = 0; i < tenant_count; ++i) {
     policy.tenant_rates.push_back(reader.number("tenants." + std::to_string(i) + ".allowancePerS"));
     result.tenant_names.push_back(
         reader.find("tenants." + std::to_string(i) + ".name").value_or(std::to_string(i)));
--- a/profile/profile.h
+++ b/profile/profile.h
@@ -12,10 +12,12 @@
 
 namespace cressrill::profile {
 
+// A setting is missing or invalid.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// The decoded settings of a deployment: those of the policy, and what its host needs.
 struct DeploymentSettings {
   PolicySettings settings;
   std::vector<std::string> type_names;  // by index; they arrive with spaces and commas replaced by _
@@ -25,15 +27,16 @@
   std::vector<std::string> report_columns;  // the columns of a load report
   int requests_column = -1;                 // index in report_columns; negative: not reported
   int memory_column = -1;                   // likewise
-  Nanos dial_timeout{};
-  Nanos worker_idle_timeout{};  // after which a worker closes an idle connection
-  Nanos drain_grace{};
+  Nanos dial_timeout{};                     // for connecting to a worker
+  Nanos worker_idle_timeout{};              // after which a worker closes an idle connection
+  Nanos drain_grace{};                      // how long a draining worker may still be sent requests
 };
 
 // Throws SettingsError, whose text names the key.
 DeploymentSettings decode_settings(std::string_view text);
-// Converts from and to milliseconds.
+// Milliseconds to nanoseconds.
 Nanos nanos(double ms);
+// Nanoseconds to milliseconds.
 double millis(Nanos ns);
 
 }  // namespace cressrill::profile
