--- a/io/calls.h
+++ b/io/calls.h
@@ -1,5 +1,5 @@
-// Counts of the system calls that an event loop and its sockets make, by call, but for those that set up and
-// close the loop and those that read the clock. Counting costs one addition per call.
+// Counts the system calls that an event loop and its sockets make, except those that set up or close the loop
+// and those that read the clock. Counting costs one addition per call.
 #pragma once
 
 #include <array>
--- a/io/failure.cpp
+++ b/io/failure.cpp
@@ -24,8 +24,8 @@
     Row{EHOSTDOWN, ErrorClass::disconnected},
 };
 
-// connect(2): a call that is interrupted or in progress continues by itself; one that fails at once lacks a
-// local port, a route or a permission on this machine.
+// connect(2): a call that is interrupted or in progress continues in the background. The other errors in this
+// table mean that this machine lacks a local port, a route or a permission.
 constexpr std::array kConnect{
     Row{EINTR, ErrorClass::would_block},
     Row{EINPROGRESS, ErrorClass::would_block},
@@ -40,7 +40,7 @@
 };
 
 // accept(2) on Linux also reports pending network errors of the new connection (aborted): that connection is
-// lost, and the listener works.
+// lost, but the listener still works.
 constexpr std::array kAccept{
     Row{ECONNABORTED, ErrorClass::aborted},
     Row{EPROTO, ErrorClass::aborted},
--- a/io/failure.h
+++ b/io/failure.h
@@ -12,7 +12,7 @@
 enum class ErrorClass : std::uint8_t {
   interrupted,        // by a signal: retry at once (an interrupted connect continues by itself)
   would_block,        // nothing to do now: wait until the kernel reports the descriptor ready
-  resource_shortage,  // temporary: this machine lacks memory, descriptors, ports or routes, or denies the call
+  resource_shortage,  // temporary: this machine lacks memory, descriptors, ports or routes, or denies a call
   aborted,            // accept: the connection broke before it was accepted; the next one may be fine
   disconnected,       // the peer or the network broke or refused the connection
 };
--- a/io/frames.h
+++ b/io/frames.h
@@ -1,5 +1,5 @@
-// Allocator for coroutine frames: freed blocks go to per-thread free lists by size, so that a steady state of
-// awaited calls allocates nothing from the heap. A frame has to be freed on the thread that allocated it.
+// Allocator for coroutine frames: freed blocks go to per-thread free lists by size, so that in a steady state
+// awaiting a call allocates nothing from the heap. A frame has to be freed on the thread that allocated it.
 // Under AddressSanitizer the heap is used directly, so that a use of a freed frame is detected.
 #pragma once
 
--- a/io/loop.cpp
+++ b/io/loop.cpp
@@ -24,12 +24,12 @@
   if (clock_ == Clock::real) {
     read_clock();
   } else {
-    now_ = kSecond;
+    now_ = kSecond;  // arbitrary start of the simulated clock
   }
 }
 
 Nanos Loop::wall_clock_offset() const {
-  constexpr Nanos kSimulatedOffset = 1'700'000'000 * kSecond;
+  constexpr Nanos kSimulatedOffset = 1'700'000'000 * kSecond;  // an arbitrary date: November 2023
   return clock_ == Clock::real ? read_system_clock(CLOCK_REALTIME) - read_system_clock(CLOCK_MONOTONIC)
                                : kSimulatedOffset;
 }
@@ -48,9 +48,9 @@
 }
 
 void Loop::report_call_failure(SystemCall call, int error) {
-  const auto kind = std::pair(call, error);
-  const bool first = std::ranges::find(reported_failures_, kind) == reported_failures_.end();
-  if (first) reported_failures_.push_back(kind);
+  const auto failure = std::pair(call, error);
+  const bool first = std::ranges::find(reported_failures_, failure) == reported_failures_.end();
+  if (first) reported_failures_.push_back(failure);
   if (observe_call_failure_) observe_call_failure_(call, error, first);
 }
 
@@ -65,12 +65,12 @@
   }
 }
 
-int Loop::register_descriptor(int fd, Readiness& readiness) {
+int Loop::register_descriptor(int fd, DescriptorState& descriptor) {
   count_call(SystemCall::epoll_ctl);
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.ptr = &readiness;
-  readiness.last_readable_at = now_;
+  event.data.ptr = &descriptor;
+  descriptor.last_readable_at = now_;
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0) {
     const int error = errno;
     report_call_failure(SystemCall::epoll_ctl, error);
@@ -101,40 +101,40 @@
 
 bool Loop::poll_descriptors(int timeout_ms) {
   count_call(SystemCall::epoll_wait);
-  std::array<epoll_event, 256> events;
-  const int n = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
-  if (n < 0) report_call_failure(SystemCall::epoll_wait, errno);
+  std::array<epoll_event, 256> events;  // further events are returned by the next call
+  const int event_count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
+  if (event_count < 0) report_call_failure(SystemCall::epoll_wait, errno);
   if (timeout_ms != 0) read_clock();  // the call may have blocked
-  for (int i = 0; i < n; ++i) {
-    auto* readiness = static_cast<Readiness*>(events[static_cast<std::size_t>(i)].data.ptr);
-    const auto bits = events[static_cast<std::size_t>(i)].events;
-    if (bits & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) readiness->hung_up = true;
-    if (bits & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-      readiness->readable = true;
-      readiness->last_readable_at = now_;
-      if (readiness->read_waiter != nullptr) make_ready(*readiness->read_waiter);
+  for (int i = 0; i < event_count; ++i) {
+    auto* descriptor = static_cast<DescriptorState*>(events[static_cast<std::size_t>(i)].data.ptr);
+    const auto event_bits = events[static_cast<std::size_t>(i)].events;
+    if (event_bits & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) descriptor->hung_up = true;
+    if (event_bits & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
+      descriptor->readable = true;
+      descriptor->last_readable_at = now_;
+      if (descriptor->read_waiter != nullptr) make_ready(*descriptor->read_waiter);
     }
-    if (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
-      readiness->writable = true;
-      if (readiness->write_waiter != nullptr) make_ready(*readiness->write_waiter);
+    if (event_bits & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
+      descriptor->writable = true;
+      if (descriptor->write_waiter != nullptr) make_ready(*descriptor->write_waiter);
     }
   }
-  return n > 0;
+  return event_count > 0;
 }
 
 bool Loop::fire_due_timers() {
   return timers_.fire(now_, [this](Timer& timer) { make_ready(*timer.waiter); });
 }
 
-// The simulated clock may only advance once the kernel has delivered what was written. Loopback nearly always
-// delivers within the write call itself; up to kTransitPolls milliseconds of real time after each write cover
-// the rest. Bytes that are not read by then belong to a socket that no coroutine reads.
+// Polls while written data may still be in the kernel, as the simulated clock may only advance once that data
+// has been delivered. Loopback nearly always delivers within the write call; up to kTransitPolls ms of real
+// time after a write cover the rest. Bytes that are still unread then belong to a socket that nobody reads.
 bool Loop::poll_in_transit() {
   if (registered_count_ == 0) return false;
   if (poll_descriptors(0)) return true;
   if (bytes_in_transit_ == 0 || transit_polls_left_ == 0) return false;
   --transit_polls_left_;
-  return poll_descriptors(1);
+  return poll_descriptors(1);  // ms
 }
 
 bool Loop::run_once() {
@@ -143,13 +143,13 @@
 }
 
 bool Loop::run_until(const std::function<bool()>& done) {
-  constexpr int kRoundsBetweenPolls = 16;
+  constexpr int kRoundsBetweenPolls = 16;  // limits how long ready coroutines can delay socket events
   int rounds = 0;
   while (!done()) {
     read_clock();
     fire_due_timers();
     if (run_ready()) {
-      // Coroutines that became ready run first; sockets are polled when none is left or after some rounds.
+      // Sockets are polled once no coroutine is ready, or after kRoundsBetweenPolls rounds.
       if (!ready_.empty() && ++rounds < kRoundsBetweenPolls) continue;
       rounds = 0;
       if (!ready_.empty() || clock_ == Clock::simulated) poll_descriptors(0);
@@ -165,12 +165,13 @@
     }
     const Nanos next = timers_.next_due_lower_bound();
     if (next == kNoTimer && registered_count_ == 0) return done();
-    int timeout = -1;
+    int timeout_ms = -1;  // no timer is set: waits until a descriptor is ready
     if (next != kNoTimer) {
       const Nanos left = next - now_;
-      timeout = static_cast<int>(std::clamp<Nanos>((left + kMs - 1) / kMs, 0, 60'000));
+      // Rounded up to whole ms, so that the timer is due on return; a minute at most, to fit an int.
+      timeout_ms = static_cast<int>(std::clamp<Nanos>((left + kMs - 1) / kMs, 0, 60'000));
     }
-    poll_descriptors(timeout);
+    poll_descriptors(timeout_ms);
   }
   return true;
 }
--- a/io/loop.h
+++ b/io/loop.h
@@ -29,12 +29,13 @@
 namespace intrusive = boost::intrusive;
 using AutoUnlink = intrusive::link_mode<intrusive::auto_unlink>;
 
-// A suspended coroutine, linked into at most one list. Its destructor unlinks it, so a destroyed frame leaves
-// no trace.
+// A suspended coroutine, linked into at most one list. Its destructor unlinks it, so that no list refers to a
+// destroyed frame.
 struct Waiter : intrusive::list_base_hook<AutoUnlink> {
   std::coroutine_handle<> handle;
 };
 
+// Makes a waiter ready at a given time; see Loop::set_timer(). Destroying it cancels it.
 struct Timer : intrusive::list_base_hook<AutoUnlink> {
   Nanos at{};             // when it is due
   std::uint64_t order{};  // timers with the same due time fire in the order in which they were set
@@ -43,7 +44,7 @@
 
 // Readiness of one registered descriptor, and the coroutines that wait for it (at most one for each
 // direction).
-struct Readiness {
+struct DescriptorState {
   Waiter* read_waiter{};
   Waiter* write_waiter{};
   bool readable{true};  // a read may succeed; set by epoll, cleared by EAGAIN or a short read
@@ -77,7 +78,7 @@
     read_clock();
     return now_;
   }
-  // Offset to add to now() to get wall-clock time in nanoseconds since 1970. Read from the machine at each
+  // Offset to add to now() to get the time in nanoseconds since the Unix epoch. Read from the machine at each
   // call, as a step of the wall clock changes it; a constant with the simulated clock.
   Nanos wall_clock_offset() const;
 
@@ -90,9 +91,10 @@
   }
   void stop() { stopped_ = true; }
 
-  // The next three calls are for a simulator that drives several loops in step, all with simulated clocks.
+  // run_once(), next_timer_at() and advance_to() are for a simulator that drives several loops in step, all
+  // with simulated clocks.
   // Fires due timers and runs one round of ready coroutines or, if none was ready, polls the sockets once.
-  // Returns whether anything happened.
+  // Returns whether a coroutine ran or a socket was ready.
   bool run_once();
   static constexpr Nanos kNoTimer = TimerWheel<Timer>::kNone;
   // Due time of the next timer, or kNoTimer.
@@ -138,9 +140,9 @@
   // set.
   void report_task_failure(std::exception_ptr thrown) noexcept;
 
-  // For Socket only. Returns 0, or the errno of a failed registration. readiness has to stay in place until
-  // the descriptor is deregistered.
-  int register_descriptor(int fd, Readiness& readiness);
+  // For Socket only. Returns 0, or the errno of a failed registration. descriptor has to stay in place until
+  // fd is deregistered.
+  int register_descriptor(int fd, DescriptorState& descriptor);
   void deregister_descriptor(int fd);
   // Counts bytes written to sockets (positive) or read from them (negative).
   void count_transfer(std::int64_t bytes) {
@@ -180,8 +182,8 @@
 // one of them.
 class Scope {
  public:
-  // What an exception that leaves a task ends: only that task, or the process, if it cannot work without the
-  // task.
+  // What an exception that leaves a task ends: only that task, or the whole process if it cannot do without
+  // the task.
   enum class OnException { end_task, end_process };
 
   explicit Scope(Loop& loop, OnException on_exception = OnException::end_task)
@@ -263,7 +265,7 @@
   intrusive::list<Waiter, intrusive::constant_time_size<false>> waiters_;
 };
 
-// Runs a task until the deadline at most: returns its result or, if the deadline came first, cancels the task
+// Runs a task until the deadline at most. Returns its result or, if the deadline came first, cancels the task
 // and returns nothing.
 template <class T>
 Task<std::optional<T>> with_deadline(Loop& loop, Nanos deadline, Task<T> task) {
@@ -274,8 +276,8 @@
     out.emplace(co_await std::move(inner));
     finished.notify();
   }(std::move(task), result, done));
-  scope.spawn([](Loop& l, Nanos until, Signal& finished) -> Task<> {
-    co_await l.sleep_until(until);
+  scope.spawn([](Loop& timer_loop, Nanos until, Signal& finished) -> Task<> {
+    co_await timer_loop.sleep_until(until);
     finished.notify();
   }(loop, deadline, done));
   co_await done.wait();
@@ -284,8 +286,8 @@
 
 // Waits until the signal is notified or the deadline has passed.
 inline Task<> wait_until(Loop& loop, Signal& signal, Nanos deadline) {
-  co_await with_deadline(loop, deadline, [](Signal& s) -> Task<bool> {
-    co_await s.wait();
+  co_await with_deadline(loop, deadline, [](Signal& awaited) -> Task<bool> {
+    co_await awaited.wait();
     co_return true;
   }(signal));
 }
--- a/io/signals.cpp
+++ b/io/signals.cpp
@@ -11,10 +11,10 @@
 namespace cressrill::io {
 
 namespace {
-int sender_fd = -1;  // of the SignalSet that exists, for the signal handler
+int sender_fd = -1;  // of the one SignalSet, for the signal handler
 
-// Signal handler: passes the number on through the socket pair.
-void send_number(int number) {
+// Signal handler: sends the number of the signal through the socket pair.
+void send_signal_number(int number) {
   const int saved_errno = errno;
   const char byte = static_cast<char>(number);
   static_cast<void>(!::write(sender_fd, &byte, 1));
@@ -27,12 +27,13 @@
   if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair) != 0)
     throw std::system_error(errno, std::generic_category(), "socketpair");
   receiver_ = Socket(loop, pair[0]);
-  sender_fd = sender_fd_ = pair[1];
-  for (const int n : numbers_) std::signal(n, send_number);
+  sender_fd_ = pair[1];
+  sender_fd = sender_fd_;
+  for (const int number : numbers_) std::signal(number, send_signal_number);
 }
 
 SignalSet::~SignalSet() {
-  for (const int n : numbers_) std::signal(n, SIG_DFL);
+  for (const int number : numbers_) std::signal(number, SIG_DFL);
   ::close(sender_fd_);
 }
 
@@ -51,9 +52,9 @@
 void run_until_stop_signal(Loop& loop) {
   StopSignal stop(loop);
   Scope scope(loop);
-  scope.spawn([](StopSignal& s, Loop& l) -> Task<> {
-    co_await s.wait();
-    l.stop();
+  scope.spawn([](StopSignal& awaited, Loop& running) -> Task<> {
+    co_await awaited.wait();
+    running.stop();
   }(stop, loop));
   loop.run();
 }
--- a/io/signals.h
+++ b/io/signals.h
@@ -24,7 +24,7 @@
   std::vector<int> numbers_;
 };
 
-// SIGTERM and SIGINT.
+// Waits for SIGTERM or SIGINT.
 class StopSignal {
  public:
   explicit StopSignal(Loop& loop);
--- a/io/socket.cpp
+++ b/io/socket.cpp
@@ -30,7 +30,7 @@
   if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
   return fd;
 }
-// These two return the number of system calls that they made.
+// set_no_delay() and enable_keepalive() return the number of system calls that they made.
 std::uint64_t set_no_delay(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -39,15 +39,18 @@
 // Keepalive probes detect a peer whose machine is down and sends no FIN: the kernel breaks the connection
 // after about 25 s of silence.
 std::uint64_t enable_keepalive(int fd) {
-  const int on = 1, idle_s = 10, interval_s = 5, probes = 3;
+  const int on = 1;
+  const int idle_s = 10;
+  const int interval_s = 5;
+  const int probes = 3;
   setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
   return 4;
 }
-// Result of a connect that was in progress (SO_ERROR), or the errno of getsockopt(2).
-int pending_error(Loop& loop, int fd) {
+// Returns the result of a connect that was in progress (SO_ERROR), or the errno of a failed getsockopt(2).
+int connect_result(Loop& loop, int fd) {
   int pending = 0;
   socklen_t size = sizeof pending;
   loop.count_call(SystemCall::getsockopt);
@@ -77,21 +80,24 @@
   return Address{ntohl(parsed.s_addr), port};
 }
 
-// Waits until a direction is ready, or is made ready by someone else: the caller checks why.
+// Suspends until the descriptor is ready in one direction. A timer, close() or cancel_read() also resumes the
+// coroutine, so the caller has to check why.
 struct Socket::ReadyWait : Waiter {
-  ReadyWait(Readiness& awaited, Side direction) : readiness(&awaited), side(direction) {}
+  ReadyWait(DescriptorState& awaited, Side direction) : descriptor(&awaited), side(direction) {}
   ReadyWait(ReadyWait&&) = delete;
   ~ReadyWait() {
-    if (readiness != nullptr && slot() == this) slot() = nullptr;
+    if (descriptor != nullptr && slot() == this) slot() = nullptr;
+  }
+  Waiter*& slot() { return side == Side::read ? descriptor->read_waiter : descriptor->write_waiter; }
+  bool await_ready() const noexcept {
+    return side == Side::read ? descriptor->readable : descriptor->writable;
   }
-  Waiter*& slot() { return side == Side::read ? readiness->read_waiter : readiness->write_waiter; }
-  bool await_ready() const noexcept { return side == Side::read ? readiness->readable : readiness->writable; }
   void await_suspend(std::coroutine_handle<> h) {
     handle = h;
     slot() = this;
   }
   void await_resume() const noexcept {}
-  Readiness* readiness;  // null once the socket was closed during the wait
+  DescriptorState* descriptor;  // null once the socket was closed during the wait
   Side side;
 };
 
@@ -104,7 +110,7 @@
 
 int Socket::adopt(Loop& loop, int fd, Socket& out) {
   auto state = std::unique_ptr<State>(new State{loop, fd, {}, 0, false, false, false});
-  const int error = loop.register_descriptor(fd, state->readiness);
+  const int error = loop.register_descriptor(fd, state->descriptor);
   if (error == 0) out.state_ = std::move(state);
   return error;
 }
@@ -120,14 +126,14 @@
 void Socket::close(bool reset) {
   if (!state_) return;
   if (reset) {
-    const linger send_reset{1, 0};
+    const linger send_reset{1, 0};  // on, with a time of 0 s
     state_->loop.count_call(SystemCall::setsockopt);
     setsockopt(state_->fd, SOL_SOCKET, SO_LINGER, &send_reset, sizeof send_reset);
   }
   // Wakes the coroutines that wait on this socket; they return EBADF.
-  for (Waiter* waiter : {state_->readiness.read_waiter, state_->readiness.write_waiter})
+  for (Waiter* waiter : {state_->descriptor.read_waiter, state_->descriptor.write_waiter})
     if (waiter != nullptr) {
-      static_cast<ReadyWait*>(waiter)->readiness = nullptr;
+      static_cast<ReadyWait*>(waiter)->descriptor = nullptr;
       state_->loop.make_ready(*waiter);
     }
   state_->loop.deregister_descriptor(state_->fd);
@@ -149,37 +155,40 @@
 // after a delay.
 Task<> Socket::wait_readable() {
   constexpr Nanos kProbeDelay = 50 * kMs;
-  ReadyWait ready(state_->readiness, Side::read);
+  ReadyWait ready(state_->descriptor, Side::read);
   Timer timer;
   if (!state_->probed) state_->loop.set_timer(timer, state_->loop.now() + kProbeDelay, ready);
   co_await ready;
-  if (!state_ || state_->readiness.readable || state_->readiness.cancel_read) co_return;
-  state_->probed = state_->probing = state_->readiness.readable = true;
+  if (!state_ || state_->descriptor.readable || state_->descriptor.cancel_read) co_return;
+  state_->probed = true;
+  state_->probing = true;
+  state_->descriptor.readable = true;
 }
 
 Task<IoResult> Socket::read_some(std::span<char> buffer) {
   for (;;) {
     if (!state_) co_return IoResult{0, EBADF};
-    if (std::exchange(state_->readiness.cancel_read, false)) co_return IoResult{0, ECANCELED};
-    if (!state_->readiness.readable && !state_->readiness.left_unread) {
+    if (std::exchange(state_->descriptor.cancel_read, false)) co_return IoResult{0, ECANCELED};
+    if (!state_->descriptor.readable && !state_->descriptor.left_unread) {
       co_await wait_readable();
       continue;
     }
     // Data left unread by a peek may exceed one read, and epoll does not report it again.
-    if (std::exchange(state_->readiness.left_unread, false)) state_->readiness.readable = true;
+    if (std::exchange(state_->descriptor.left_unread, false)) state_->descriptor.readable = true;
     state_->loop.count_call(SystemCall::recv);
-    const ssize_t n = ::recv(state_->fd, buffer.data(), buffer.size(), 0);
-    if (n >= 0) {
-      state_->loop.count_transfer(-n);
-      state_->short_reads |= std::exchange(state_->probing, false) && n > 0;
+    const ssize_t received = ::recv(state_->fd, buffer.data(), buffer.size(), 0);
+    if (received >= 0) {
+      state_->loop.count_transfer(-received);
+      state_->short_reads |= std::exchange(state_->probing, false) && received > 0;
       state_->probed = false;
-      const bool may_be_all = static_cast<std::size_t>(n) < buffer.size() && !state_->short_reads;
-      if (may_be_all) state_->readiness.readable = state_->readiness.hung_up;
-      co_return IoResult{static_cast<std::size_t>(n), 0};
+      const bool may_be_all = static_cast<std::size_t>(received) < buffer.size() && !state_->short_reads;
+      if (may_be_all) state_->descriptor.readable = state_->descriptor.hung_up;
+      co_return IoResult{static_cast<std::size_t>(received), 0};
     }
     const int error = errno;
     if (error == EAGAIN) {
-      state_->readiness.readable = state_->probing = false;
+      state_->descriptor.readable = false;
+      state_->probing = false;
     } else if (!co_await should_retry(SystemCall::recv, error)) {
       co_return IoResult{0, error};
     }
@@ -195,20 +204,20 @@
 // also measured by the unacknowledged bytes: a peer that reads slowly does not count as stalled.
 Task<bool> Socket::wait_writable() {
   constexpr Nanos kChecksPerTimeout = 4;
-  state_->readiness.writable = false;
+  state_->descriptor.writable = false;
   if (state_->write_stall_timeout == 0) {
-    co_await ReadyWait(state_->readiness, Side::write);
+    co_await ReadyWait(state_->descriptor, Side::write);
     co_return true;
   }
   int least_unacknowledged = unacknowledged_bytes();
   Nanos last_progress_at = state_->loop.now();
   for (;;) {
-    ReadyWait ready(state_->readiness, Side::write);
+    ReadyWait ready(state_->descriptor, Side::write);
     Timer timer;
     state_->loop.set_timer(timer, state_->loop.now() + state_->write_stall_timeout / kChecksPerTimeout,
                            ready);
     co_await ready;
-    if (!state_ || state_->readiness.writable) co_return true;
+    if (!state_ || state_->descriptor.writable) co_return true;
     if (const int left = unacknowledged_bytes(); left < least_unacknowledged) {
       least_unacknowledged = left;
       last_progress_at = state_->loop.now();
@@ -227,11 +236,11 @@
   while (sent < data.size()) {
     if (!state_) co_return IoResult{sent, EBADF};
     state_->loop.count_call(SystemCall::send);
-    const ssize_t n = ::send(state_->fd, data.data() + sent, data.size() - sent, MSG_NOSIGNAL);
-    const int error = n < 0 ? errno : 0;
-    if (n > 0) {
-      state_->loop.count_transfer(n);
-      sent += static_cast<std::size_t>(n);
+    const ssize_t written = ::send(state_->fd, data.data() + sent, data.size() - sent, MSG_NOSIGNAL);
+    const int error = written < 0 ? errno : 0;
+    if (written > 0) {
+      state_->loop.count_transfer(written);
+      sent += static_cast<std::size_t>(written);
     } else if (error == EAGAIN) {
       if (!co_await wait_writable()) co_return IoResult{sent, ETIMEDOUT};
     } else if (!co_await should_retry(SystemCall::send, error == 0 ? ENOBUFS : error)) {
@@ -263,11 +272,11 @@
     message.msg_iov = buffers.data();
     message.msg_iovlen = count;
     state_->loop.count_call(SystemCall::send);
-    const ssize_t n = ::sendmsg(state_->fd, &message, MSG_NOSIGNAL);
-    if (n > 0) {
-      state_->loop.count_transfer(n);
-      sent += static_cast<std::size_t>(n);
-      for (auto left = static_cast<std::size_t>(n); left > 0;) {
+    const ssize_t written = ::sendmsg(state_->fd, &message, MSG_NOSIGNAL);
+    if (written > 0) {
+      state_->loop.count_transfer(written);
+      sent += static_cast<std::size_t>(written);
+      for (auto left = static_cast<std::size_t>(written); left > 0;) {
         const std::size_t from_first = std::min(left, parts[first].size() - first_sent);
         left -= from_first;
         first_sent += from_first;
@@ -278,7 +287,7 @@
       }
       continue;
     }
-    const int error = n < 0 ? errno : 0;
+    const int error = written < 0 ? errno : 0;
     if (error == EAGAIN) {
       if (!co_await wait_writable()) co_return IoResult{sent, ETIMEDOUT};
     } else if (!co_await should_retry(SystemCall::send, error == 0 ? ENOBUFS : error)) {
@@ -290,50 +299,50 @@
 Task<> Socket::wait_for_peer_close() {
   for (;;) {
     if (!state_) co_return;
-    if (!state_->readiness.readable) {
-      co_await ReadyWait(state_->readiness, Side::read);
+    if (!state_->descriptor.readable) {
+      co_await ReadyWait(state_->descriptor, Side::read);
       continue;
     }
-    const ssize_t n = peek();
-    const int error = n < 0 ? errno : 0;
-    if (n == 0) co_return;
+    const ssize_t peeked = peek();
+    const int error = peeked < 0 ? errno : 0;
+    if (peeked == 0) co_return;
     if (error != 0 && error != EAGAIN) {
-      if (state_->readiness.hung_up) co_return;
+      if (state_->descriptor.hung_up) co_return;
       if (!co_await should_retry(SystemCall::recv, error)) co_return;
       continue;
     }
     // With unread data, a peek does not see the end of the stream behind it; epoll has reported it
     // (EPOLLRDHUP).
-    if (n > 0 && state_->readiness.hung_up) co_return;
-    state_->readiness.readable = false;
-    state_->readiness.left_unread = n > 0;
+    if (peeked > 0 && state_->descriptor.hung_up) co_return;
+    state_->descriptor.readable = false;
+    state_->descriptor.left_unread = peeked > 0;
   }
 }
 
-bool Socket::peer_closed() const { return !state_ || state_->readiness.hung_up; }
+bool Socket::peer_closed() const { return !state_ || state_->descriptor.hung_up; }
 
 void Socket::cancel_read() {
   if (!state_) return;
-  state_->readiness.cancel_read = true;
-  if (state_->readiness.read_waiter != nullptr) state_->loop.make_ready(*state_->readiness.read_waiter);
+  state_->descriptor.cancel_read = true;
+  if (state_->descriptor.read_waiter != nullptr) state_->loop.make_ready(*state_->descriptor.read_waiter);
 }
 
 bool Socket::is_stale() const {
   if (!state_) return true;
-  const ssize_t n = peek();
-  return n >= 0 || classify_error(SystemCall::recv, errno) != ErrorClass::would_block;
+  const ssize_t peeked = peek();
+  return peeked >= 0 || classify_error(SystemCall::recv, errno) != ErrorClass::would_block;
 }
 
 Nanos Socket::last_received_at() const {
   if (!state_) return 0;
   Loop& loop = state_->loop;
-  const Nanos reported_at = state_->readiness.last_readable_at;
+  const Nanos reported_at = state_->descriptor.last_readable_at;
   if (loop.is_simulated()) return reported_at;
   tcp_info info{};
   socklen_t size = sizeof info;
   loop.count_call(SystemCall::getsockopt);
   if (getsockopt(state_->fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return reported_at;
-  // In whole milliseconds, and not meaningful before the first data has been received.
+  // tcpi_last_data_recv is in whole milliseconds, and not meaningful before the first data has been received.
   return std::min(reported_at, loop.now() - static_cast<Nanos>(info.tcpi_last_data_recv) * kMs);
 }
 
@@ -343,8 +352,8 @@
   char byte;
   for (;;) {
     state_->loop.count_call(SystemCall::recv);
-    const ssize_t n = ::recv(state_->fd, &byte, 1, MSG_PEEK);
-    if (n >= 0 || errno != EINTR) return n;
+    const ssize_t peeked = ::recv(state_->fd, &byte, 1, MSG_PEEK);
+    if (peeked >= 0 || errno != EINTR) return peeked;
     state_->loop.report_call_failure(SystemCall::recv, EINTR);
   }
 }
@@ -378,10 +387,10 @@
     co_return IoResult{0, adopt_error};
   }
   if (in_progress) {
-    socket.state_->readiness.writable = false;
-    co_await Socket::ReadyWait(socket.state_->readiness, Socket::Side::write);
+    socket.state_->descriptor.writable = false;
+    co_await Socket::ReadyWait(socket.state_->descriptor, Socket::Side::write);
     if (!socket.state_) co_return IoResult{0, EBADF};
-    if (const int connect_error = pending_error(loop, fd); connect_error != 0)
+    if (const int connect_error = connect_result(loop, fd); connect_error != 0)
       co_return IoResult{0, connect_error};
   }
   out = std::move(socket);
@@ -418,8 +427,8 @@
       co_await back_off(error, failures);
       continue;
     }
-    socket_.state_->readiness.readable = false;
-    co_await Socket::ReadyWait(socket_.state_->readiness, Socket::Side::read);
+    socket_.state_->descriptor.readable = false;
+    co_await Socket::ReadyWait(socket_.state_->descriptor, Socket::Side::read);
   }
   co_return Socket{};
 }
@@ -436,8 +445,8 @@
   co_return Socket{};
 }
 
-// Keeps a failing accept from blocking the event loop for all other connections: waits while this machine is
-// short of a resource, and after every kErrorsPerPause connections that broke in the queue.
+// Keeps failing accepts from occupying the event loop: waits if this machine is short of a resource, and
+// after every kErrorsPerPause connections that broke in the accept queue.
 Task<> Listener::back_off(int error, int& failures) {
   constexpr int kErrorsPerPause = 4;
   loop_.report_call_failure(SystemCall::accept4, error);
--- a/io/socket.h
+++ b/io/socket.h
@@ -23,17 +23,18 @@
   std::string to_string() const;
   friend bool operator==(const Address&, const Address&) = default;
 };
-// Nothing if the text is not exactly an address and a port.
+// Returns nothing if the text is not exactly an address and a port.
 std::optional<Address> parse_address(std::string_view text);
 
+// Result of a read or a write.
 struct IoResult {
-  std::size_t bytes{};  // for a read, 0 without an error is the end of the stream
+  std::size_t bytes{};  // read or written; a read of 0 bytes without an error is the end of the stream
   int error{};          // errno, 0 for none
   bool ok() const { return error == 0; }
 };
 
-// A connected, non-blocking TCP socket, or none. At most one coroutine may read or wait for the peer's close
-// at a time, and at most one may write.
+// A connected, non-blocking TCP socket, or none (see is_open()). At most one coroutine may read or wait for
+// the peer's close at a time, and at most one may write.
 class Socket {
  public:
   Socket() = default;
@@ -52,10 +53,10 @@
   // FIN.
   void close(bool reset = false);
 
-  // Suspends until data, the end of the stream or an error is there.
+  // Reads what has been received. Suspends until data, the end of the stream or an error is available.
   Task<IoResult> read_some(std::span<char> buffer);
-  // Writes everything, or returns the error; bytes is what the kernel accepted. Several parts are written
-  // with as few calls as possible (sendmsg(2)). The data has to stay valid until the task has finished.
+  // Writes everything, or returns an error and the number of bytes that the kernel accepted. Several parts
+  // are written with few system calls (sendmsg(2)). The data has to stay valid until the task has finished.
   Task<IoResult> write_all(std::string_view data);
   Task<IoResult> write_all(std::span<const std::string_view> parts);
   // A write fails with ETIMEDOUT once the peer has accepted no byte for this long. 0 (the default): no limit.
@@ -72,7 +73,7 @@
   // Whether received data has not been read. Closing the socket now would reset the connection.
   bool has_unread_data() const;
   // When epoll last reported the socket readable.
-  Nanos last_readable_at() const { return state_ ? state_->readiness.last_readable_at : 0; }
+  Nanos last_readable_at() const { return state_ ? state_->descriptor.last_readable_at : 0; }
   // When the kernel received the last data (TCP_INFO), never after last_readable_at(). It is earlier if the
   // process was delayed or the connection waited in the listener's accept queue.
   Nanos last_received_at() const;
@@ -85,7 +86,7 @@
   struct State {
     Loop& loop;
     int fd;
-    Readiness readiness;
+    DescriptorState descriptor;
     Nanos write_stall_timeout{};
     bool probed{};       // a probe read was made since the last read that returned data
     bool probing{};      // the next read is the probe read
@@ -106,6 +107,7 @@
 // ...). Sets no deadline of its own.
 Task<IoResult> connect(Loop& loop, Address address, Socket& out);
 
+// A listening TCP socket. At most one coroutine may accept at a time.
 class Listener {
  public:
   // Port 0 selects a free port; address() returns it. Throws std::system_error if the address cannot be
@@ -123,6 +125,7 @@
   Task<Socket> accept_queued();
   void close();
   bool is_open() const { return socket_.is_open(); }
+  // Changes the maximum length of the accept queue.
   void set_backlog(int backlog);
 
   // Takes the next connection of the accept queue without waiting. Returns 0 or errno; EAGAIN if the queue is
@@ -130,7 +133,7 @@
   int try_accept(Socket& out);
 
  private:
-  // Delay after a failed accept, where one is needed.
+  // Waits after a failed accept, if that is needed.
   Task<> back_off(int error, int& failures);
 
   Loop& loop_;
--- a/io/task.h
+++ b/io/task.h
@@ -24,9 +24,9 @@
   // Resumes the coroutine that awaited this one.
   struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
-    template <class P>
-    std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-      return h.promise().caller ? h.promise().caller : std::noop_coroutine();
+    template <class PromiseType>
+    std::coroutine_handle<> await_suspend(std::coroutine_handle<PromiseType> finished) noexcept {
+      return finished.promise().caller ? finished.promise().caller : std::noop_coroutine();
     }
     void await_resume() noexcept {}
   };
--- a/io/timer_wheel.h
+++ b/io/timer_wheel.h
@@ -29,13 +29,13 @@
 
   // Due time of the next timer, or kNone.
   std::int64_t next_due() {
-    const List* slot = due_.empty() ? first() : &due_;
+    const List* slot = due_.empty() ? first_slot() : &due_;
     return slot == nullptr ? kNone : earliest(*slot);
   }
-  // A lower bound of next_due(), after the time of the last fire(), at less cost: nothing is due before it.
+  // A lower bound of next_due() that costs less: nothing is due before it. It lies after the last fire().
   std::int64_t next_due_lower_bound() {
     if (!due_.empty()) return earliest(due_);
-    if (first() == nullptr) return kNone;
+    if (first_slot() == nullptr) return kNone;
     return static_cast<std::int64_t>(first_tick_ << kTickBits);
   }
 
@@ -88,7 +88,7 @@
 
   // The first slot that holds a timer that is not due yet, or null; sets first_tick_ to the tick at which it
   // begins.
-  List* first() {
+  List* first_slot() {
     for (int level = 0; level < kLevels; ++level) {
       Level& current = levels_[static_cast<std::size_t>(level)];
       for (std::size_t word = 0; word < current.filled.size(); ++word)
@@ -109,11 +109,11 @@
     return nullptr;
   }
 
-  // Moves the cursor to a tick. The timers of each slot that begins on the way are placed again; later slots
+  // Moves the cursor to a tick. The timers of each slot that begins before it are placed again. Later slots
   // stay valid, as the cursor's bits above their level do not change.
   void advance(std::uint64_t tick) {
     while (tick > cursor_) {
-      List* slot = first();
+      List* slot = first_slot();
       if (slot == nullptr || first_tick_ > tick) {
         cursor_ = tick;
         return;
@@ -130,7 +130,7 @@
   }
 
   std::uint64_t cursor_{};      // current tick
-  std::uint64_t first_tick_{};  // set by first()
+  std::uint64_t first_tick_{};  // set by first_slot()
   List due_;                    // timers whose tick is not after the cursor
   std::array<Level, kLevels> levels_;
   std::vector<T*> fired_;  // scratch space of fire()
