--- a/http/client.cpp
+++ b/http/client.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A release without an answer for this long may be preempted by another release: most likely it has arrived,
-// or its link is dead.
+// A release without a response for this long may be preempted by another release: most likely the peer has
+// received it, or the connection is dead.
 constexpr io::Nanos kReleasePreemptableAfter = 20 * io::kMs;
 
 }  // namespace
@@ -31,16 +31,16 @@
   Pool* oldest = nullptr;
   for (Pool* pool : pools_)
     if (!pool->idle_.empty() &&
-        (oldest == nullptr || pool->idle_.front().since < oldest->idle_.front().since))
+        (oldest == nullptr || pool->idle_.front().idle_since < oldest->idle_.front().idle_since))
       oldest = pool;
   if (oldest == nullptr) return false;
   oldest->close_oldest_idle();
   return true;
 }
 
-// Keeps releases to unresponsive workers from using up the connections for reachable ones.
+// Keeps releases to unresponsive workers from using up the connections for responsive ones.
 bool ConnectionBudget::preempt_oldest_release(io::Nanos now) {
-  if (releases_.empty() || now - releases_.front().since < kReleasePreemptableAfter) return false;
+  if (releases_.empty() || now - releases_.front().started_at < kReleasePreemptableAfter) return false;
   releases_.front().pool->preempt(*releases_.front().connection);
   return true;
 }
@@ -96,8 +96,8 @@
                 [&](const auto& release) { return release.connection == &connection; });
 }
 
-// A coroutine that waits on the socket sees it closed. The connection stops counting at once, not only when
-// its lease ends.
+// A coroutine that waits on the socket notices the close. The connection stops counting at once, not only
+// when its lease ends.
 void Pool::preempt(Connection& connection) {
   release_ended(connection);
   connection.preempted = true;
@@ -110,11 +110,11 @@
   closed();
 }
 
-void Pool::record_use(const Connection& connection, bool answered) {
+void Pool::record_use(const Connection& connection, bool has_response) {
   if (!limits_.budget || !connection.reused || connection.preempted) return;
   IdleReuseTracker& tracker = limits_.budget->idle_reuse_;
-  answered ? tracker.record_response(connection.idle_time, loop_.now())
-           : tracker.record_loss(connection.idle_time, loop_.now());
+  has_response ? tracker.record_response(connection.idle_time, loop_.now())
+               : tracker.record_loss(connection.idle_time, loop_.now());
 }
 
 void Pool::close_idle() {
@@ -128,7 +128,7 @@
     if (count_.admits(priority)) {
       if (reuse == Reuse::allowed && budget_admits(priority))
         if (auto connection = take_idle(priority, next_reuse_at)) co_return connection;
-      if (has_room(priority)) break;
+      if (make_room(priority)) break;
     }
     if (loop_.now() >= deadline) co_return nullptr;
     co_await io::wait_until(loop_, available_, next_reuse_at);
@@ -144,9 +144,9 @@
 // to the time when an idle connection becomes reusable.
 std::unique_ptr<Connection> Pool::take_idle(Priority priority, io::Nanos& next_reuse_at) {
   for (std::size_t i = idle_.size(); i-- > 0;) {
-    const io::Nanos idle_time = loop_.now() - idle_[i].since;
+    const io::Nanos idle_time = loop_.now() - idle_[i].idle_since;
     if (idle_time < limits_.min_idle_before_reuse) {
-      next_reuse_at = std::min(next_reuse_at, idle_[i].since + limits_.min_idle_before_reuse);
+      next_reuse_at = std::min(next_reuse_at, idle_[i].idle_since + limits_.min_idle_before_reuse);
       continue;
     }
     if (!worth_using(idle_time)) continue;
@@ -168,8 +168,9 @@
   return nullptr;
 }
 
-// At the limit, a release replaces an idle connection that it cannot reuse.
-bool Pool::has_room(Priority priority) {
+// Returns whether another connection may be opened. At the limit, closes an idle connection, which could not be
+// reused, for a release.
+bool Pool::make_room(Priority priority) {
   if (count_.full() && priority == Priority::release && !idle_.empty()) close_oldest_idle();
   return !count_.full();
 }
@@ -179,7 +180,7 @@
 }
 
 io::Task<std::unique_ptr<Connection>> Pool::dial(io::Nanos deadline, bool& at_capacity, Priority priority) {
-  struct CountGuard {  // takes back the count if the dial fails or is cancelled
+  struct CountGuard {  // undoes the counting if the dial fails or is cancelled
     Pool* pool;
     Priority priority;
     ~CountGuard() {
@@ -196,7 +197,7 @@
     const auto result =
         co_await io::with_deadline(loop_, deadline, io::connect(loop_, peer_, connection->socket));
     if (result && result->ok()) break;
-    // A resource shortage of this machine is not the peer's fault and may be over before the deadline.
+    // A resource shortage of this machine is not the fault of the peer and may end before the deadline.
     at_capacity = result && io::classify_error(io::SystemCall::connect, result->error) ==
                                 io::ErrorClass::resource_shortage;
     if (!at_capacity || loop_.now() + io::kResourceRetryDelay >= deadline) co_return nullptr;
@@ -211,7 +212,7 @@
 
 bool Pool::has_reusable() const {
   return std::ranges::any_of(idle_, [this](const IdleEntry& entry) {
-    const io::Nanos idle_time = loop_.now() - entry.since;
+    const io::Nanos idle_time = loop_.now() - entry.idle_since;
     return idle_time >= limits_.min_idle_before_reuse && worth_using(idle_time);
   });
 }
@@ -240,8 +241,8 @@
 
 io::Task<> Pool::close_expired() {
   while (!idle_.empty()) {
-    co_await loop_.sleep_until(idle_.front().since + limits_.idle_timeout);
-    while (!idle_.empty() && idle_.front().since + limits_.idle_timeout <= loop_.now()) {
+    co_await loop_.sleep_until(idle_.front().idle_since + limits_.idle_timeout);
+    while (!idle_.empty() && idle_.front().idle_since + limits_.idle_timeout <= loop_.now()) {
       close_oldest_idle();
     }
   }
--- a/http/client.h
+++ b/http/client.h
@@ -11,22 +11,23 @@
 
 namespace cressrill::http {
 
-// Purpose of a connection. Some connections are reserved for releases (calls that free KV cache at a worker),
-// so that these never wait for ordinary work.
+// What a connection is used for. Some connections are reserved for releases (calls that free KV cache at a
+// worker), so that these never wait for ordinary work.
 enum class Priority { ordinary, release };
 
+// A connection of a pool.
 struct Connection {
   io::Socket socket;
   std::unique_ptr<MessageReader> reader;
   Priority priority{Priority::ordinary};  // of the current use
   bool preempted{};                       // closed in favour of another release, and no longer counted
-  bool reused{};                          // it was idle in the pool before the current use
+  bool reused{};                          // it was idle in the pool before its current use
   io::Nanos idle_time{};                  // for how long, if reused
 };
 
 class Pool;
 
-// Whether an idle connection may be reused. One can be dead without notice while its peer is well.
+// Whether an idle connection may be reused. It may be dead without notice although its peer is healthy.
 enum class Reuse { allowed, never };
 
 // Counts connections against a limit, part of which is reserved for releases. Idle connections count as open,
@@ -52,7 +53,7 @@
   std::size_t ordinary_in_use_{};
 };
 
-// Shared by several pools: a limit on their connections together, and the reuse statistics of idle
+// Shared by several pools: a limit on the connections of all of them, and the reuse statistics of idle
 // connections. At the limit, the oldest idle connection of any pool is closed for a new one.
 class ConnectionBudget {
  public:
@@ -66,7 +67,7 @@
   struct Release {  // a release whose connection is in use
     Pool* pool{};
     Connection* connection{};
-    io::Nanos since{};
+    io::Nanos started_at{};
   };
   // Whether another connection may be opened; closes or preempts one first if that is needed and allowed.
   bool make_room(Priority priority, io::Nanos now);
@@ -79,7 +80,7 @@
 };
 
 struct PoolLimits {
-  io::Nanos dial_timeout = 250 * io::kMs;
+  io::Nanos dial_timeout = 250 * io::kMs;     // to wait for capacity and to connect, together
   io::Nanos idle_timeout = 15 * io::kSecond;  // an idle connection is closed after this time
   std::size_t max_idle = 64;
   std::size_t max_open = 1024;  // at this limit, a request waits for a connection to be returned
@@ -115,7 +116,7 @@
   void discard(std::unique_ptr<Connection> connection);
   // Records for reuse decisions whether a reused connection brought a response. No effect for a new
   // connection.
-  void record_use(const Connection& connection, bool answered);
+  void record_use(const Connection& connection, bool has_response);
   // Closes all idle connections.
   void close_idle();
   io::Address peer() const { return peer_; }
@@ -123,18 +124,19 @@
   std::size_t idle_count() const { return idle_.size(); }
   // Whether an idle connection can be reused now.
   bool has_reusable() const;
+  // Number of connections that were dialled so far.
   std::size_t dial_count() const { return dial_count_; }
 
  private:
-  // Whether the reuse statistics say that a connection which has been idle that long is still usable.
+  // Whether the reuse statistics favour reusing a connection that has been idle for this long.
   bool worth_using(io::Nanos idle_time) const;
   friend class ConnectionBudget;
   struct IdleEntry {
     std::unique_ptr<Connection> connection;
-    io::Nanos since;  // when it became idle
+    io::Nanos idle_since;
   };
   std::unique_ptr<Connection> take_idle(Priority priority, io::Nanos& next_reuse_at);
-  bool has_room(Priority priority);
+  bool make_room(Priority priority);
   bool budget_admits(Priority priority) const;
   io::Task<std::unique_ptr<Connection>> dial(io::Nanos deadline, bool& at_capacity, Priority priority);
   // Keep count_ and the budget's count in step.
@@ -206,8 +208,8 @@
   std::string body;
   bool ok() const { return connected && error == MessageError::none; }
 };
-// Sends a formatted request and reads the response. still_wanted, if given, is called once a connection has
-// been acquired: if it returns false, nothing is sent and the error is MessageError::closed.
+// Sends a formatted request and reads the complete response. still_wanted, if given, is called once a
+// connection has been acquired: if it returns false, nothing is sent and the error is MessageError::closed.
 io::Task<ExchangeResult> exchange(std::shared_ptr<Pool> pool, std::string request,
                                   std::function<bool()> still_wanted = {}, Reuse reuse = Reuse::allowed,
                                   Priority priority = Priority::ordinary);
--- a/http/message.cpp
+++ b/http/message.cpp
@@ -11,8 +11,8 @@
 namespace cressrill::http {
 
 namespace beast = boost::beast;
-namespace bh = boost::beast::http;
-using Error = boost::system::error_code;
+namespace beast_http = boost::beast::http;
+using ErrorCode = boost::system::error_code;
 
 std::optional<std::string_view> Head::field(std::string_view name) const {
   for (const auto& [key, value] : fields)
@@ -21,7 +21,8 @@
 }
 
 void Head::clear() {
-  method = target = {};
+  method = {};
+  target = {};
   status = 0;
   keep_alive = false;
   fields.clear();
@@ -62,8 +63,8 @@
 // Common interface of the request and the response parser; its functions are those of basic_parser.
 struct ParserInterface {
   virtual ~ParserInterface() = default;
-  virtual std::size_t put(const char* data, std::size_t size, Error& error) = 0;
-  virtual void put_eof(Error& error) = 0;
+  virtual std::size_t put(const char* data, std::size_t size, ErrorCode& error) = 0;
+  virtual void put_eof(ErrorCode& error) = 0;
   virtual bool head_done() const = 0;
   virtual bool done() const = 0;
   virtual bool started() const = 0;
@@ -72,8 +73,8 @@
 };
 
 template <bool request>
-class Parser final : public bh::basic_parser<request>, public ParserInterface {
-  using Base = bh::basic_parser<request>;
+class Parser final : public beast_http::basic_parser<request>, public ParserInterface {
+  using Base = beast_http::basic_parser<request>;
 
  public:
   Parser(MessageLimits limits, ParserOutput& output) : output_(output) {
@@ -85,10 +86,10 @@
       this->body_limit(boost::none);
     this->eager(true);
   }
-  std::size_t put(const char* data, std::size_t size, Error& error) override {
+  std::size_t put(const char* data, std::size_t size, ErrorCode& error) override {
     return Base::put(boost::asio::const_buffer(data, size), error);
   }
-  void put_eof(Error& error) override { Base::put_eof(error); }
+  void put_eof(ErrorCode& error) override { Base::put_eof(error); }
   bool head_done() const override { return Base::is_header_done(); }
   bool done() const override { return Base::is_done(); }
   bool started() const override { return Base::got_some(); }
@@ -100,44 +101,47 @@
 
  private:
   static std::string_view to_std_view(beast::string_view text) { return {text.data(), text.size()}; }
-  void on_request_impl(bh::verb, beast::string_view method, beast::string_view target, int, Error&) override {
+  void on_request_impl(beast_http::verb, beast::string_view method, beast::string_view target, int,
+                       ErrorCode&) override {
     output_.head->method = output_.head->store(to_std_view(method));
     output_.head->target = output_.head->store(to_std_view(target));
   }
-  void on_response_impl(int status, beast::string_view, int, Error&) override {
+  void on_response_impl(int status, beast::string_view, int, ErrorCode&) override {
     output_.head->status = status;
   }
-  void on_field_impl(bh::field, beast::string_view name, beast::string_view value, Error& error) override {
+  void on_field_impl(beast_http::field, beast::string_view name, beast::string_view value,
+                     ErrorCode& error) override {
     if (output_.head == nullptr) return;  // a trailer field: ignored
     Head& head = *output_.head;
     const std::string_view key = head.store(to_std_view(name), true);
     // RFC 9112, 6.3: conflicting message lengths may be an attempt at request smuggling.
     if (key == "content-length" && (head.field(key) || head.field("transfer-encoding")))
-      error = bh::error::bad_content_length;
+      error = beast_http::error::bad_content_length;
     if (key == "transfer-encoding" && (head.field(key) || head.field("content-length")))
-      error = bh::error::bad_transfer_encoding;
+      error = beast_http::error::bad_transfer_encoding;
     head.fields.emplace_back(key, head.store(to_std_view(value)));
   }
-  void on_header_impl(Error&) override { output_.head = nullptr; }  // later fields are trailer fields
-  void on_body_init_impl(boost::optional<std::uint64_t> const&, Error&) override {}
-  std::size_t on_body_impl(beast::string_view data, Error&) override {
+  void on_header_impl(ErrorCode&) override { output_.head = nullptr; }  // later fields are trailer fields
+  void on_body_init_impl(boost::optional<std::uint64_t> const&, ErrorCode&) override {}
+  std::size_t on_body_impl(beast::string_view data, ErrorCode&) override {
     output_.pieces.push_back(to_std_view(data));
     return data.size();
   }
-  void on_chunk_header_impl(std::uint64_t, beast::string_view, Error&) override {}
-  std::size_t on_chunk_body_impl(std::uint64_t, beast::string_view data, Error&) override {
+  void on_chunk_header_impl(std::uint64_t, beast::string_view, ErrorCode&) override {}
+  std::size_t on_chunk_body_impl(std::uint64_t, beast::string_view data, ErrorCode&) override {
     output_.pieces.push_back(to_std_view(data));
     return data.size();
   }
-  void on_finish_impl(Error&) override {}
+  void on_finish_impl(ErrorCode&) override {}
 
   ParserOutput& output_;
 };
 
-MessageError to_message_error(const Error& error) {
-  if (error == bh::error::header_limit) return MessageError::head_too_large;
-  if (error == bh::error::body_limit) return MessageError::body_too_large;
-  if (error == bh::error::partial_message || error == bh::error::end_of_stream) return MessageError::closed;
+MessageError to_message_error(const ErrorCode& error) {
+  if (error == beast_http::error::header_limit) return MessageError::head_too_large;
+  if (error == beast_http::error::body_limit) return MessageError::body_too_large;
+  if (error == beast_http::error::partial_message || error == beast_http::error::end_of_stream)
+    return MessageError::closed;
   return MessageError::malformed;
 }
 
@@ -147,6 +151,7 @@
 constexpr std::size_t kInitialBufferBytes = 4 * 1024;
 constexpr std::size_t kMaxBufferBytes = 64 * 1024;
 
+// The receive buffer, and the parser of the current message.
 struct MessageReader::State {
   State(io::Socket& source, MessageKind message_kind, MessageLimits message_limits)
       : socket(source), kind(message_kind), limits(message_limits) {}
@@ -161,7 +166,7 @@
   std::unique_ptr<char[]> buffer;
   std::size_t capacity{};   // of the buffer, without the padding
   std::size_t consumed{};   // bytes at its start that were parsed
-  std::size_t size{};       // bytes in it
+  std::size_t size{};       // bytes in it, including those consumed
   bool last_read_filled{};  // the last read filled the buffer
   io::Nanos received_at{};
   bool kernel_time_read{true};  // received_at is what the kernel reports for the last read
@@ -175,12 +180,12 @@
     else
       parser = &parsers.emplace<2>(limits, output);
   }
-  // Passes the buffered bytes to the parser.
-  void parse(Error& error) {
+  // Passes the bytes that are buffered and not consumed to the parser.
+  void parse(ErrorCode& error) {
     while (consumed < size && !parser->done()) {
       const std::size_t parsed = parser->put(buffer.get() + consumed, size - consumed, error);
       consumed += parsed;
-      if (error == bh::error::need_more) {
+      if (error == beast_http::error::need_more) {
         error = {};
         break;
       }
@@ -199,7 +204,8 @@
   // Reads more bytes from the socket into the buffer.
   io::Task<MessageError> receive() {
     if (consumed == size) {
-      consumed = size = 0;
+      consumed = 0;
+      size = 0;
       // A read that filled the buffer suggests that much more data follows.
       if (last_read_filled && capacity < kMaxBufferBytes && parser->head_done())
         grow(std::min(kMaxBufferBytes, capacity * 4));
@@ -219,7 +225,7 @@
       co_return MessageError::none;
     }
     if (!parser->started()) co_return MessageError::closed;
-    Error error;
+    ErrorCode error;
     parser->put_eof(error);  // the end of the connection may be the end of a response body
     co_return error || !parser->done() ? MessageError::closed : MessageError::none;
   }
@@ -237,11 +243,13 @@
   state.start_message(&out);
   if (state.consumed == state.size && state.capacity > kInitialBufferBytes) {
     state.buffer.reset();
-    state.capacity = state.consumed = state.size = 0;
+    state.capacity = 0;
+    state.consumed = 0;
+    state.size = 0;
   }
   out.clear();
   for (;;) {
-    Error parse_error;
+    ErrorCode parse_error;
     // Beast parses the start line and each field as soon as they are complete, so text stored from earlier
     // pieces has to stay in place while the next piece is received. One pass stores at most the bytes that
     // are in the buffer.
@@ -262,7 +270,7 @@
   out = {};
   if (std::exchange(state.pieces_returned, false)) state.output.pieces.clear();
   for (;;) {
-    Error parse_error;
+    ErrorCode parse_error;
     state.parse(parse_error);
     if (!state.output.pieces.empty()) {
       state.pieces_returned = true;
@@ -315,7 +323,7 @@
 std::string format_request_head(std::string_view method, std::string_view target, std::string_view host,
                                 std::string_view fields, std::size_t body_bytes) {
   std::string out;
-  out.reserve(128 + target.size() + fields.size());
+  out.reserve(128 + target.size() + fields.size());  // 128: room for the rest of a usual head
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\nhost: ").append(host).append("\r\n");
   out.append(fields);
   if (body_bytes > 0 || method != "GET")
@@ -329,8 +337,9 @@
 }
 
 namespace {
-std::string status_line(int status, bool keep_alive) {
-  const auto reason = bh::obsolete_reason(static_cast<bh::status>(status));
+// Returns the status line and, if the connection is not kept alive, the connection field.
+std::string format_response_start(int status, bool keep_alive) {
+  const auto reason = beast_http::obsolete_reason(static_cast<beast_http::status>(status));
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
   out.append(reason.data(), reason.size()).append("\r\n");
   if (!keep_alive) out.append("connection: close\r\n");
@@ -339,13 +348,15 @@
 }  // namespace
 
 std::string format_response(int status, std::string_view fields, std::string_view body, bool keep_alive) {
-  std::string out = status_line(status, keep_alive);
+  std::string out = format_response_start(status, keep_alive);
   out.append(fields).append("content-length: ").append(std::to_string(body.size())).append("\r\n\r\n");
   return out.append(body);
 }
 
 std::string format_stream_head(int status, std::string_view fields, bool keep_alive) {
-  return status_line(status, keep_alive).append(fields).append("transfer-encoding: chunked\r\n\r\n");
+  return format_response_start(status, keep_alive)
+      .append(fields)
+      .append("transfer-encoding: chunked\r\n\r\n");
 }
 
 ChunkSizeLine::ChunkSizeLine(std::size_t bytes) {
@@ -390,7 +401,7 @@
     }
     if (line.starts_with(':')) last_comment_.assign(line.substr(1));
     if (!line.starts_with("data:")) continue;
-    line.remove_prefix(5);
+    line.remove_prefix(5);  // "data:"
     if (line.starts_with(' ')) line.remove_prefix(1);
     if (++data_lines == 1) {
       data = line;
--- a/http/message.h
+++ b/http/message.h
@@ -1,5 +1,5 @@
 // Reads and formats HTTP/1.1 messages (RFC 9112). Parsing is done by Boost.Beast's basic_parser. A reader
-// keeps little of a message: its start line, its header fields, and the piece of the body that has been
+// keeps only the start line and the header fields of a message, and the part of its body that has been
 // received and not yet consumed.
 #pragma once
 
@@ -60,6 +60,7 @@
   timed_out,       // the rest of a partly received request did not arrive in time
   no_capacity,     // a partly received request was abandoned because the server is at its connection limit
 };
+// The error in words, for error bodies.
 const char* to_string(MessageError error);
 
 enum class MessageKind { request, response };
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -84,10 +84,10 @@
       session_scope_(loop),
       accept_scope_(loop, io::Scope::OnException::end_process),
       timeout_scope_(loop, io::Scope::OnException::end_process) {
-  accept_scope_.spawn(accept());
+  accept_scope_.spawn(accept_connections());
 }
 
-// The affected sessions end by themselves, as their pending reads fail.
+// Ends each idle connection as decide(idle) says. Its session then ends by itself, as its pending read fails.
 template <class Decide>
 void Server::end_idle_where(Decide decide) {
   for (auto it = idle_connections_.begin(); it != idle_connections_.end();) {
@@ -113,7 +113,7 @@
   drain(true);
 }
 
-// Accepts the connections in the accept queue, then closes the listener: closing it would reset queued
+// Accepts the connections in the accept queue before it closes the listener: closing it resets queued
 // connections, whose clients may have sent a request already.
 io::Task<> Server::drain_accept_queue() {
   for (;;) {
@@ -130,7 +130,8 @@
 void Server::drain(bool all) {
   draining_ = true;
   end_idle_where([all](const IdleConnection& idle) {
-    const bool unused = idle.first && !idle.has_partial_request() && !idle.socket.has_unread_data();
+    const bool unused =
+        idle.before_first_request && !idle.has_partial_request() && !idle.socket.has_unread_data();
     return idle.between_requests() || (all && unused) ? IdleAction::end_gracefully : IdleAction::keep;
   });
 }
@@ -146,10 +147,10 @@
     // A connection between two requests is ended gracefully, as a request may be in flight on it; one without
     // a request, or one that lingers, is closed at once.
     end_idle_where([this](IdleConnection& idle) {
-      const bool request_begins =
-          !idle.first && idle.has_partial_request() && !std::exchange(idle.partial_request_seen, true);
+      const bool request_has_begun = !idle.before_first_request && idle.has_partial_request() &&
+                                     !std::exchange(idle.partial_request_seen, true);
       // Its first byte arrived within the last check interval.
-      if (request_begins) idle.deadline = deadline_after(timeouts_.request - kTimeoutCheckInterval);
+      if (request_has_begun) idle.deadline = deadline_after(timeouts_.request - kTimeoutCheckInterval);
       if (idle.deadline > loop_.now()) return IdleAction::keep;
       if (idle.has_partial_request()) return IdleAction::reject_timed_out;
       if (idle.between_requests()) return IdleAction::end_gracefully;
@@ -160,7 +161,7 @@
 
 // At the connection limit, closes the connection that has been idle longest and has received no data of a
 // request. If every idle connection has received some, the oldest of them is rejected with
-// MessageError::no_capacity.
+// MessageError::no_capacity. Does nothing if there is no idle timeout.
 void Server::evict_one() {
   if (timeouts_.idle == 0) return;
   IdleConnection* partial = nullptr;
@@ -182,7 +183,7 @@
 
 void Server::throttle_accept(io::Nanos interval) {
   accept_interval_ = interval;
-  listener_.set_backlog(interval > 0 ? 0 : 1024);
+  listener_.set_backlog(interval > 0 ? 0 : 1024);  // 1024: the default of io::Listener
 }
 
 void Server::kill() {
@@ -192,7 +193,7 @@
   open_connections_ = 0;
 }
 
-io::Task<> Server::accept() {
+io::Task<> Server::accept_connections() {
   for (;;) {
     co_await wait_for_capacity();
     io::Socket socket = co_await listener_.accept();
@@ -227,15 +228,15 @@
 }
 
 // Sends a FIN after the written data, so that the data reaches the client, and waits up to kLingerTime for
-// the client to close. An evicted connection is not waited for.
+// the client to close. Does nothing for an evicted connection.
 io::Task<> Server::close_gracefully(io::Socket& socket, bool& evicted, DataUntilClose data) {
   if (!socket.is_open() || evicted) co_return;
   const io::Nanos deadline = loop_.now() + kLingerTime;
   IdleConnection idle(*this, socket, deadline, evicted);
   ::shutdown(socket.fd(), SHUT_WR);
   if (data == DataUntilClose::keep_unread) {
-    // A request that crosses the FIN stays unread: the kernel resets the connection, and the client sends the
-    // request again.
+    // A request that crosses the FIN stays unread, so the kernel resets the connection when it is closed, and
+    // the client sends the request again.
     co_await io::with_deadline(loop_, deadline, wait_for_client_close(socket));
     co_return;
   }
@@ -254,10 +255,11 @@
 // Reads the next request of a connection, or returns why there is none.
 io::Task<MessageError> Server::read_request(Session& session, Request& request) {
   request.body.clear();
-  const bool first = session.request_count++ == 0;
-  IdleConnection idle(*this, session.socket, deadline_after(first ? timeouts_.first_request : timeouts_.idle),
+  const bool is_first_request = session.request_count++ == 0;
+  IdleConnection idle(*this, session.socket,
+                      deadline_after(is_first_request ? timeouts_.first_request : timeouts_.idle),
                       session.evicted, &session.reader);
-  idle.first = first;
+  idle.before_first_request = is_first_request;
   MessageError error = co_await session.reader.read_head(request.head);
   // RFC 9110, 10.1.1: the client may wait for this response before it sends the body.
   if (error == MessageError::none && request.head.field("expect") == "100-continue" &&
@@ -291,12 +293,12 @@
     } else {
       response.abort();
     }
-    co_return HandlerOutcome::answered;
+    co_return HandlerOutcome::responded;
   }
-  if (response.started()) co_return HandlerOutcome::answered;
+  if (response.started()) co_return HandlerOutcome::responded;
   if (!response.socket().is_open() || response.write_failed()) co_return HandlerOutcome::client_left;
   response.abort();
-  co_return HandlerOutcome::unanswered;
+  co_return HandlerOutcome::no_response;
 }
 
 // Serves the requests of one connection until the connection ends.
@@ -322,7 +324,7 @@
     const auto is_last = [&] { return draining_ && !session.reader.has_leftover(); };
     ResponseWriter response(socket, request.head.keep_alive && !is_last());
     const HandlerOutcome outcome = co_await handle(request, response);
-    if (outcome == HandlerOutcome::unanswered) co_return ConnectionEnd::unanswered;
+    if (outcome == HandlerOutcome::no_response) co_return ConnectionEnd::unanswered;
     if (outcome == HandlerOutcome::client_left || response.write_failed()) co_return ConnectionEnd::by_client;
     if (response.keep_alive() && !is_last()) continue;
     co_await close_gracefully(socket, session.evicted, DataUntilClose::keep_unread);
--- a/http/server.h
+++ b/http/server.h
@@ -8,6 +8,7 @@
 
 namespace cressrill::http {
 
+// A request with its complete body.
 struct Request {
   Head head;
   std::string body;         // with capacity for kReadPaddingBytes more
@@ -75,8 +76,8 @@
 // Name of the value, as it is used in metrics.
 const char* to_string(ConnectionEnd end);
 
-// Accepts connections from its construction on; requests are passed to the handler. A failed accept loop ends
-// the process, an exception of a handler ends only its request.
+// Accepts connections from its construction on and passes their requests to the handler. An exception of the
+// accept loop ends the process; one of a handler ends only its request.
 class Server {
  public:
   using ConnectionEndObserver = std::function<void(ConnectionEnd)>;
@@ -94,8 +95,8 @@
   // Closes a connection whose client accepts no written data for that long. Call it before the first
   // connection.
   void set_write_stall_timeout(io::Nanos timeout) { write_stall_timeout_ = timeout; }
-  // From now on, closes each connection after its current request, and at once if it is idle and has served
-  // one. New connections are still accepted for one request. all: also closes connections that have not
+  // From now on, closes each connection after its current request, or at once if it has served one and is
+  // idle. New connections are still accepted for one request. all: also closes connections that have not
   // carried a request yet.
   void drain(bool all);
   // Accepts the connections that are in the accept queue, then closes the listener; drains all connections.
@@ -105,12 +106,14 @@
   bool draining_accept_queue() const { return draining_accept_queue_; }
   // Number of connections with a request that is being handled.
   std::size_t active_connections() const { return open_connections_ - idle_count_; }
-  // For test servers: accepts one connection per interval at most, with a backlog of 0; interval 0 ends that.
+  // For test servers: accepts one connection per interval at most, with a backlog of 0. Interval 0 ends the
+  // throttling.
   void throttle_accept(io::Nanos interval);
   // Closes every connection and the listener at once.
   void kill();
 
  private:
+  // The state of one client connection.
   struct Session {
     io::Socket& socket;
     MessageReader reader;
@@ -119,13 +122,13 @@
     bool ended_by_server{};       // closed by this side while idle: later data is not read
   };
 
-  io::Task<> accept();
+  io::Task<> accept_connections();
   io::Task<> drain_accept_queue();
   io::Task<> wait_for_capacity();
   void start_session(io::Socket socket);
   io::Task<> run_session(io::Socket socket);
   io::Task<ConnectionEnd> serve_requests(Session& session);
-  enum class HandlerOutcome { answered, client_left, unanswered };
+  enum class HandlerOutcome { responded, client_left, no_response };
   io::Task<HandlerOutcome> handle(Request& request, ResponseWriter& response);
   io::Task<MessageError> read_request(Session& session, Request& request);
   // kNoTimer if timeout is 0.
@@ -171,13 +174,15 @@
     io::Nanos deadline;
     bool& evicted;
     const MessageReader* reader;          // null while it waits for the client to close
-    bool first{};                         // it has not carried a request yet
+    bool before_first_request{};          // it has not carried a request yet
     bool partial_request_seen{};          // deadline is that of a request that was partly received
     IdleAction action{IdleAction::keep};  // how the server ends it
     bool is_lingering() const { return reader == nullptr; }
-    // Whether part of a request has been received, so that its client must get a response.
+    // Whether part of a request has been received, so that the client must get a response.
     bool has_partial_request() const { return reader != nullptr && reader->started(); }
-    bool between_requests() const { return !first && !is_lingering() && !has_partial_request(); }
+    bool between_requests() const {
+      return !before_first_request && !is_lingering() && !has_partial_request();
+    }
   };
   io::Task<> enforce_timeouts();
   void evict_one();
