--- a/http/client.cpp
+++ b/http/client.cpp
@@ -168,8 +168,8 @@
   return nullptr;
 }
 
-// Returns whether another connection may be opened. At the limit, closes an idle connection, which could not be
-// reused, for a release.
+// Returns whether another connection may be opened. At the limit, closes for a release an idle connection
+// that it cannot reuse.
 bool Pool::make_room(Priority priority) {
   if (count_.full() && priority == Priority::release && !idle_.empty()) close_oldest_idle();
   return !count_.full();
--- a/http/idle_reuse.h
+++ b/http/idle_reuse.h
@@ -35,8 +35,8 @@
     double losses{};
     std::int64_t at{};  // time up to which the counts have decayed
   };
-  // Buckets double in width: bucket n holds idle times of about 2^(n-1) to 2^n ms, and the last one all longer
-  // times as well.
+  // Buckets double in width: bucket n holds idle times of about 2^(n-1) to 2^n ms, and the last one
+  // all longer times as well.
   static std::size_t bucket(std::int64_t idle_time) {
     const auto ms = static_cast<std::uint64_t>(std::max<std::int64_t>(0, idle_time) >> 20);
     return std::min<std::size_t>(static_cast<std::size_t>(std::bit_width(ms)), kBuckets - 1);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -87,23 +87,24 @@
   std::string trace;
   for (const auto& [api, body] : cases)
     trace += fmt::format("{}\n  {}\n", body, describe(core::parse_request(api, body, {})));
-  const std::string lists = std::string(100, '[') + std::string(100, ']');
-  const std::string deep = R"({"model":"m","messages":[{"role":"user","content":"a"}],"x":)" + lists + "}";
+  const std::string nested_lists = std::string(100, '[') + std::string(100, ']');
+  const std::string deep_body =
+      R"({"model":"m","messages":[{"role":"user","content":"a"}],"x":)" + nested_lists + "}";
   trace += "a hundred lists, one in the other, in a member\n  " +
-           describe(core::parse_request(Api::chat, deep, {})) + "\n";
+           describe(core::parse_request(Api::chat, deep_body, {})) + "\n";
   std::erase(trace, '\xff');
   compare_trace("core_requests", trace);
 }
 
 TEST_CASE("the request bodies sent to engines") {
-  const auto facts = std::get<core::ParsedRequest>(core::parse_request(
+  const auto request = std::get<core::ParsedRequest>(core::parse_request(
       Api::completion, R"({"model":"m","prompt":"a","max_tokens":9,"stream":false,"temperature":1})", {}));
   core::EngineBody body;
-  core::build_prefill_body(facts, body);
+  core::build_prefill_body(request, body);
   CHECK(
       body.text() ==
       R"({"model":"m","prompt":"a","temperature":1,"max_tokens":1,"stream":false,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}})");
-  core::build_decode_body(facts, R"({"x":1})", body);
+  core::build_decode_body(request, R"({"x":1})", body);
   CHECK(
       body.text() ==
       R"({"model":"m","prompt":"a","temperature":1,"max_tokens":9,"stream":true,"stream_options":{"include_usage":true},"kv_transfer_params":{"x":1}})");
@@ -226,9 +227,9 @@
 }
 
 TEST_CASE("the token estimate converges to the counts that engines report") {
-  core::TokenEstimator estimate;
+  core::TokenEstimator estimator;
   std::uint64_t random = 9;
-  const auto text = [&random](std::size_t words) {
+  const auto random_text = [&random](std::size_t words) {
     std::string out;
     for (std::size_t i = 0; i < words; ++i) {
       random ^= random << 13;
@@ -242,10 +243,10 @@
   for (int round = 0; round <= 60; ++round) {
     double mean_error = 0;
     for (int i = 0; i < 10; ++i) {
-      const std::string prompt = text(50 + random % 900);
+      const std::string prompt = random_text(50 + random % 900);
       const double counted = static_cast<double>(rig::tokenize(prompt).count);
-      mean_error += std::abs(estimate.estimate("m", prompt.size(), 0) - counted) / counted / 10;
-      estimate.learn("m", prompt.size(), 0, counted);
+      mean_error += std::abs(estimator.estimate("m", prompt.size(), 0) - counted) / counted / 10;
+      estimator.learn("m", prompt.size(), 0, counted);
     }
     if (round % 20 == 0)
       trace += fmt::format("after {:>3} prompts: off by {:.1f}%\n", round * 10, 100 * mean_error);
@@ -291,7 +292,7 @@
       R"({"choices":[{"index":0,"delta":{"tool_calls":[{"index":1,"function":{"arguments":"1}"}}]},"finish_reason":"stop"}]})",
       R"({"choices":[],"usage":{"prompt_tokens":30, "x":[1]}})",
   };
-  for (const char* e : events) CHECK(router::parse_chunk(with_padding(e), &builder).readable);
+  for (const char* event : events) CHECK(router::parse_chunk(with_padding(event), &builder).readable);
   compare_trace("core_whole", builder.body(true) + "\n" + builder.body(false) + "\n");
 }
 
@@ -335,45 +336,45 @@
 }
 
 TEST_CASE("the rule verdict finds a planted violation of each rule, and none in a clean record") {
-  const auto at = [](int ms, const char* event, rig::Recorder::Line more) {
+  const auto record_line = [](int ms, const char* event, rig::Recorder::Line extra_fields) {
     rig::Recorder::Line line{{"t", ms * io::kMs}, {"e", event}};
-    line.update(more);
+    line.update(extra_fields);
     return line;
   };
   const auto asked = [&](const char* id, const char* type = "plain") {
-    return at(0, "asked",
-              {{"id", id},
-               {"sequence", "s"},
-               {"router", "r"},
-               {"type", type},
-               {"abandon", 5000 * io::kMs},
-               {"slo", 1000 * io::kMs}});
+    return record_line(0, "asked",
+                       {{"id", id},
+                        {"sequence", "s"},
+                        {"router", "r"},
+                        {"type", type},
+                        {"abandon", 5000 * io::kMs},
+                        {"slo", 1000 * io::kMs}});
   };
   const auto final = [&](int ms, const char* id, const char* how, const char* type = "plain") {
-    return at(ms, "final",
-              {{"id", id},
-               {"sequence", "s"},
-               {"router", "r"},
-               {"type", type},
-               {"how", how},
-               {"first", 0},
-               {"took", ms * io::kMs}});
+    return record_line(ms, "final",
+                       {{"id", id},
+                        {"sequence", "s"},
+                        {"router", "r"},
+                        {"type", type},
+                        {"how", how},
+                        {"first", 0},
+                        {"took", ms * io::kMs}});
   };
   const auto engine = [&](int ms, const char* event, const char* id,
-                          rig::Recorder::Line more = rig::Recorder::Line::object()) {
-    rig::Recorder::Line line = at(ms, event, {{"engine", "w"}, {"id", id}, {"router", "r"}});
-    line.update(more);
+                          rig::Recorder::Line extra_fields = rig::Recorder::Line::object()) {
+    rig::Recorder::Line line = record_line(ms, event, {{"engine", "w"}, {"id", id}, {"router", "r"}});
+    line.update(extra_fields);
     return line;
   };
   const auto told = [&](int ms, const char* state) {
-    return at(ms, "told", {{"router", "r"}, {"complete", false}, {"workers", {{"w", state}}}});
+    return record_line(ms, "told", {{"router", "r"}, {"complete", false}, {"workers", {{"w", state}}}});
   };
-  rig::RuleSettings book;
-  book.drain_grace = 500 * io::kMs;
-  book.pin_limit = 1000 * io::kMs;
-  book.types["plain"] = {};
-  book.types["once"].effect = Effect::once_only;
-  book.types["tokened"] = {Effect::tokened, Group::zone, 1000 * io::kMs};
+  rig::RuleSettings rule_settings;
+  rule_settings.drain_grace = 500 * io::kMs;
+  rule_settings.pin_limit = 1000 * io::kMs;
+  rule_settings.types["plain"] = {};
+  rule_settings.types["once"].effect = Effect::once_only;
+  rule_settings.types["tokened"] = {Effect::tokened, Group::zone, 1000 * io::kMs};
   const auto sent_and_ran = [&](int sent, int ran, const char* id, const char* zone) {
     return std::pair{engine(sent, "in", id, {{"stage", "write"}}), engine(ran, "ran", id, {{"zone", zone}})};
   };
@@ -381,8 +382,10 @@
   const auto [in_near, ran_near] = sent_and_ran(900, 1900, "u.0-1", "east");
   const auto [in_far, ran_far] = sent_and_ran(900, 950, "u.0-1", "west");
   const auto [in_late, ran_late] = sent_and_ran(1200, 1250, "u.0-1", "east");
-  auto ask_1 = asked("u.0", "tokened"), end_1 = final(2000, "u.0", "aborted", "tokened");
-  ask_1["sequence"] = end_1["sequence"] = "u";
+  auto asked_1 = asked("u.0", "tokened");
+  auto final_1 = final(2000, "u.0", "aborted", "tokened");
+  asked_1["sequence"] = "u";
+  final_1["sequence"] = "u";
   using Lines = std::vector<rig::Recorder::Line>;
   const Lines clean{asked("s.0"),
                     told(0, "ready"),
@@ -393,6 +396,7 @@
                     engine(50, "ran", "s.0-1"),
                     engine(90, "out", "s.0-1"),
                     final(100, "s.0", "generated")};
+  // The rule that is violated (0: none), and the lines that are added to the clean record.
   const std::pair<int, Lines> planted[] = {
       {0, {}},
       {1, {final(200, "s.0", "rejected")}},                 // a second final response
@@ -402,20 +406,21 @@
        {asked("s.1", "once"), final(300, "s.1", "aborted", "once"), engine(60, "ran", "s.1-0"),
         engine(70, "ran", "s.1-1")}},
       {2, {asked("s.1", "once"), final(300, "s.1", "rejected", "once"), engine(60, "ran", "s.1-0")}},
-      {0,
-       {ask_1, end_1, in_0, ran_0, in_near, ran_near}},  // recognized as a repeat there, however late it ran
-      {2, {ask_1, end_1, in_0, ran_0, in_far, ran_far}},
-      {2, {ask_1, end_1, in_0, ran_0, in_late, ran_late}},
+      // Recognized as a repeat there, however late it ran.
+      {0, {asked_1, final_1, in_0, ran_0, in_near, ran_near}},
+      {2, {asked_1, final_1, in_0, ran_0, in_far, ran_far}},
+      {2, {asked_1, final_1, in_0, ran_0, in_late, ran_late}},
       {3, {told(100, "draining"), engine(700, "in", "s.0-2")}},
       {4, {engine(100, "fell", "s.0-2")}},
       {5, {engine(100, "held", "s.0-2"), engine(1200, "freed", "s.0-2")}},
       {5, {engine(100, "held", "s.0-2"), engine(3000, "out", "s.0-9")}},  // never released
   };
-  for (const auto& [rule, more] : planted) {
+  for (const auto& [rule, added_lines] : planted) {
     Lines lines = clean;
-    lines.insert(lines.end(), more.begin(), more.end());
-    const rig::Verdict v = rig::check_rules(lines, book);
-    for (const rig::RuleResult& f : v.rules) CHECK_MESSAGE((f.violations > 0) == (f.rule == rule), v.text());
+    lines.insert(lines.end(), added_lines.begin(), added_lines.end());
+    const rig::Verdict verdict = rig::check_rules(lines, rule_settings);
+    for (const rig::RuleResult& result : verdict.rules)
+      CHECK_MESSAGE((result.violations > 0) == (result.rule == rule), verdict.text());
   }
 }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the discovery client with responses in awkward orders: responses in parts, agents that lag behind,
-// versions that decrease.
+// Tests of the discovery client with responses in parts or out of order, agents that lag behind and versions
+// that decrease.
 #include "platform_fixture.h"
 #include "raw_server.h"
 
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A discovery agent whose responses the test writes itself. After construction the router has its list of
-// version 41 and has a watch open.
+// A discovery agent whose responses the test writes itself. After its construction the router has applied
+// its list of version 41 and has a watch open.
 struct ManualAgent {
   explicit ManualAgent(PlatformFixture& platform) : fixture(platform) {
     platform.node->set_discovery_agent(server.address());
@@ -26,9 +26,9 @@
   // state: of writer-0, the only worker in a list of changes; empty: no change.
   std::string list(int version, bool full, const std::string& state) const {
     json targets = json::array();
-    for (const auto& w : fixture.workers)
-      if (full || (w->name == "writer-0" && !state.empty()))
-        targets.push_back(PlatformFixture::target(*w, w->name == "writer-0" ? state : "up"));
+    for (const auto& worker : fixture.workers)
+      if (full || (worker->name == "writer-0" && !state.empty()))
+        targets.push_back(PlatformFixture::target(*worker, worker->name == "writer-0" ? state : "up"));
     return json{{"rev", version}, {"all", full}, {"targets", targets}}.dump();
   }
   static void write(RawConnection& connection, const std::string& body) {
@@ -84,7 +84,7 @@
   ManualAgent agent(fixture);
   FakeDiscovery next(fixture.loop);
   next.rev = 100;
-  for (auto& w : fixture.workers) next.update(PlatformFixture::target(*w));
+  for (auto& worker : fixture.workers) next.update(PlatformFixture::target(*worker));
   fixture.node->set_discovery_agent(next.address());
   fixture.run_for(20);
   agent.write(*agent.watch, agent.list(200, true, "removed"));
@@ -104,7 +104,7 @@
     REQUIRE(!fixture.is_listed_ready("writer-0"));
     FakeDiscovery next(fixture.loop);
     next.rev = static_cast<std::uint64_t>(version);
-    for (auto& w : fixture.workers) next.update(PlatformFixture::target(*w));
+    for (auto& worker : fixture.workers) next.update(PlatformFixture::target(*worker));
     fixture.node->set_discovery_agent(next.address());
     fixture.run_for(20);
     CHECK(!fixture.is_listed_ready("writer-0"));
@@ -148,9 +148,10 @@
   fixture.run_for(5);
   const auto pending_call = unresponsive_agent.accept();
   REQUIRE(pending_call);
-  FakeDiscovery second(fixture.loop), third(fixture.loop);
+  FakeDiscovery second(fixture.loop);
+  FakeDiscovery third(fixture.loop);
   for (FakeDiscovery* agent : {&second, &third})
-    for (auto& w : fixture.workers) agent->update(PlatformFixture::target(*w));
+    for (auto& worker : fixture.workers) agent->update(PlatformFixture::target(*worker));
   fixture.node->set_discovery_agent(second.address());
   fixture.run_for(20);
   REQUIRE(second.full_list_calls() == 1);
@@ -176,24 +177,23 @@
   PlatformFixture fixture(1, 2);
   RawServer slow;
   json targets = json::array();
-  for (auto& w : fixture.workers)
-    targets.push_back(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
-  const std::string answer =
+  for (auto& worker : fixture.workers)
+    targets.push_back(PlatformFixture::target(*worker, worker->name == "writer-0" ? "draining" : "up"));
+  const std::string response =
       http::format_response(200, "", json{{"rev", 100}, {"all", true}, {"targets", targets}}.dump(), true);
-  struct Call {
+  struct PendingCall {
     std::unique_ptr<RawConnection> connection;
-    std::size_t sent{};
+    std::size_t sent{};  // bytes of the response
   };
-  std::vector<Call> calls;
+  std::vector<PendingCall> calls;
   fixture.node->set_discovery_agent(slow.address());
   constexpr int kPieces = 30;  // one every 100 ms
   for (int i = 0; i < 55 && fixture.is_listed_ready("writer-0"); ++i) {
-    while (auto taken = slow.accept()) calls.push_back({std::move(taken), 0});
-    for (Call& pending_call : calls)
-      pending_call.sent +=
-          pending_call.connection->write(std::string_view(answer)
-                                             .substr(std::min(pending_call.sent, answer.size()))
-                                             .substr(0, answer.size() / kPieces + 1));
+    while (auto connection = slow.accept()) calls.push_back({std::move(connection), 0});
+    for (PendingCall& call : calls)
+      call.sent += call.connection->write(std::string_view(response)
+                                              .substr(std::min(call.sent, response.size()))
+                                              .substr(0, response.size() / kPieces + 1));
     fixture.run_for(100);
   }
   CHECK(!fixture.is_listed_ready("writer-0"));
--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 
-// Sets a flag when the frame of its coroutine is destroyed.
+// A local variable that sets a flag when the frame of its coroutine is destroyed.
 struct DestructionFlag {
   bool& destroyed;
   ~DestructionFlag() { destroyed = true; }
 };
 
-io::Task<int> double_after_delay(io::Loop& loop, int n) {
+io::Task<int> double_after_delay(io::Loop& loop, int value) {
   co_await loop.sleep_for(5 * kMs);
-  co_return 2 * n;
+  co_return 2 * value;
 }
 
 }  // namespace
@@ -119,7 +119,7 @@
     std::vector<const Entry*> linked;
     for (const Entry& entry : entries)
       if (entry.is_linked()) linked.push_back(&entry);
-    std::ranges::sort(linked, {}, [](const Entry* e) { return std::pair(e->at, e->order); });
+    std::ranges::sort(linked, {}, [](const Entry* entry) { return std::pair(entry->at, entry->order); });
     return linked;
   };
   for (int step = 0; step < 20'000; ++step) {
@@ -141,7 +141,8 @@
       now += static_cast<std::int64_t>(random_below(static_cast<std::uint64_t>(kSpans[random_below(4)])));
     if (random_below(8) == 0 && !sorted.empty()) now = std::max(now, expected_due);
     if (random_below(200) == 0) now += kSpans[4];
-    std::vector<std::uint64_t> due_orders, fired_orders;
+    std::vector<std::uint64_t> due_orders;
+    std::vector<std::uint64_t> fired_orders;
     for (const Entry* candidate : sorted)
       if (candidate->at <= now) due_orders.push_back(candidate->order);
     wheel->fire(now, [&](Entry& timer) { fired_orders.push_back(timer.order); });
@@ -154,7 +155,8 @@
 TEST_CASE("a task that misses its deadline is cancelled and its frame destroyed") {
   io::Loop loop(io::Loop::Clock::simulated);
   bool destroyed = false;
-  std::optional<int> late, early;
+  std::optional<int> late;
+  std::optional<int> early;
   io::Scope scope(loop);
   scope.spawn([](io::Loop& event_loop, bool& flag, std::optional<int>& first,
                  std::optional<int>& second) -> io::Task<> {
@@ -177,10 +179,12 @@
     "cancelling a scope destroys tasks that wait in accept, read, write, connect, sleep or on a signal") {
   io::Loop loop(io::Loop::Clock::simulated);
   io::Listener listener(loop, kAnyPort);
-  io::Listener full(loop, kAnyPort, 0);
+  io::Listener full(loop, kAnyPort, 0);  // its accept queue is filled by the filler sockets
   io::Signal unnotified(loop);
   bool destroyed[6] = {};
-  io::Socket client, server, filler[3];
+  io::Socket client;
+  io::Socket server;
+  io::Socket filler[3];
   {
     io::Scope scope(loop);
     scope.spawn([](io::Loop& event_loop, io::Listener& from, io::Socket& connected,
@@ -189,10 +193,10 @@
       accepted = co_await from.accept();
     }(loop, listener, client, server));
     loop.run_until([&] { return scope.empty(); });
-    for (io::Socket& f : filler)
+    for (io::Socket& filling : filler)
       scope.spawn([](io::Loop& event_loop, io::Address address, io::Socket& to) -> io::Task<> {
         co_await io::connect(event_loop, address, to);
-      }(loop, full.address(), f));
+      }(loop, full.address(), filling));
     scope.spawn([](io::Listener& listening, bool& flag) -> io::Task<> {
       DestructionFlag guard{flag};
       co_await listening.accept();
@@ -298,8 +302,9 @@
   http::Server server(
       loop, kAnyPort, [&](http::Request& request, http::ResponseWriter& response) -> io::Task<> {
         io::Scope watch(loop);
-        watch.spawn(
-            [](http::ResponseWriter& a) -> io::Task<> { co_await a.wait_for_client_close(); }(response));
+        watch.spawn([](http::ResponseWriter& watched) -> io::Task<> {
+          co_await watched.wait_for_client_close();
+        }(response));
         const std::string target(request.head.target);
         co_await loop.sleep_for(20 * kMs);  // meanwhile the next request arrives, and the watch sees its data
         watch.cancel();
@@ -324,7 +329,7 @@
   CHECK(targets == "/one b;/two b;/three b;");
 }
 
-// Guards against losing the earlier fields of a head that arrives in several pieces.
+// Guards against the loss of the earlier fields of a head that arrives in several pieces.
 TEST_CASE("messages are parsed the same however they are split into pieces") {
   const std::string request =
       "POST /v1/chat?x=1 HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b1f\r\nX-Empty:\r\nContent-Length: "
@@ -389,7 +394,8 @@
 
 TEST_CASE("a streamed response may have any length; one that is read into a string is limited") {
   io::Loop loop(io::Loop::Clock::simulated);
-  constexpr std::size_t kChunks = 300, kChunkBytes = 40'000;
+  constexpr std::size_t kChunks = 300;
+  constexpr std::size_t kChunkBytes = 40'000;
   http::Server server(loop, kAnyPort, [&](http::Request&, http::ResponseWriter& response) -> io::Task<> {
     const std::string chunk(kChunkBytes, 'x');
     response.begin_stream_deferred(200, "");
@@ -398,7 +404,8 @@
     co_await response.end_stream("last");
   });
   std::size_t streamed = 0;
-  http::MessageError stream_error{}, string_error{};
+  http::MessageError stream_error{};
+  http::MessageError string_error{};
   io::Scope scope(loop);
   scope.spawn([](io::Loop& event_loop, io::Address address, std::size_t& bytes,
                  http::MessageError& stream_result, http::MessageError& string_result) -> io::Task<> {
@@ -460,25 +467,26 @@
                       });
   auto pool =
       std::make_shared<http::Pool>(loop, server.address(), http::PoolLimits{250 * kMs, io::kSecond, 8, 2});
-  int ok = 0;
+  int ok_count = 0;
   io::Scope scope(loop);
   const auto send = [&] {
     scope.spawn([](std::shared_ptr<http::Pool> target, int& count) -> io::Task<> {
       const std::string text = http::format_request("POST", "/", "h", "", "hello");
       const http::ExchangeResult result = co_await http::exchange(target, text);
       count += result.ok() && result.body == "hello";
-    }(pool, ok));
+    }(pool, ok_count));
   };
   for (int i = 0; i < 6; ++i) send();
   loop.run_until([&] { return scope.empty(); });
-  CHECK(ok == 6);
+  CHECK(ok_count == 6);
   CHECK(pool->dial_count() == 2);
-  scope.spawn([](io::Loop& l) -> io::Task<> { co_await l.sleep_for(2 * io::kSecond); }(loop));
+  scope.spawn(
+      [](io::Loop& event_loop) -> io::Task<> { co_await event_loop.sleep_for(2 * io::kSecond); }(loop));
   loop.run_until([&] { return scope.empty(); });
   CHECK(pool->open_count() == 0);  // closed after the idle timeout
   send();
   loop.run_until([&] { return scope.empty(); });
-  CHECK(ok == 7);
+  CHECK(ok_count == 7);
   CHECK(pool->dial_count() == 3);
 }
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -8,10 +8,10 @@
 
 namespace cressrill::testing {
 
-// Port 0: the system chooses a free port.
+// 127.0.0.1 with port 0: the system chooses a free port.
 inline const io::Address kAnyPort{127u << 24 | 1, 0};
 
-// Runs the loop for that many milliseconds of its clock.
+// Runs the loop for ms milliseconds of its clock.
 inline void run_for(io::Loop& loop, std::int64_t ms) {
   bool finished = false;
   io::Scope timer(loop);
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxOpen = 4;              // connections
+constexpr std::size_t kMaxOpen = 4;              // connections in all
 constexpr std::size_t kReservedForReleases = 1;  // of kMaxOpen
 
 http::PoolLimits limits_with(std::shared_ptr<http::ConnectionBudget> budget) {
@@ -22,12 +22,13 @@
   explicit ConnectionHolder(io::Loop& loop) : scope(loop) {}
   void acquire(std::shared_ptr<http::Pool> from, http::Priority priority, std::size_t count = 1) {
     for (std::size_t i = 0; i < count; ++i)
-      scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority use, int& total) -> io::Task<> {
-        http::ConnectionLease lease(std::move(pool), http::Reuse::allowed, use);
-        if (!co_await lease.acquire()) co_return;
-        ++total;
-        co_await lease->socket.wait_for_peer_close();
-      }(from, priority, acquired));
+      scope.spawn(
+          [](std::shared_ptr<http::Pool> pool, http::Priority use_priority, int& total) -> io::Task<> {
+            http::ConnectionLease lease(std::move(pool), http::Reuse::allowed, use_priority);
+            if (!co_await lease.acquire()) co_return;
+            ++total;
+            co_await lease->socket.wait_for_peer_close();
+          }(from, priority, acquired));
   }
   int acquired{};
   io::Scope scope;
@@ -38,9 +39,9 @@
                  http::Reuse reuse = http::Reuse::allowed) {
   bool success = false;
   io::Scope scope(loop);
-  scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority use, http::Reuse allowed,
+  scope.spawn([](std::shared_ptr<http::Pool> pool, http::Priority use_priority, http::Reuse reuse_mode,
                  bool& acquired) -> io::Task<> {
-    http::ConnectionLease lease(std::move(pool), allowed, use);
+    http::ConnectionLease lease(std::move(pool), reuse_mode, use_priority);
     acquired = co_await lease.acquire();
     if (acquired) lease.return_to_pool();
   }(std::move(from), priority, reuse, success));
@@ -91,17 +92,20 @@
   }
 }
 
-// Guards against a release that gets no connection while attempts wait on unresponsive links.
+// Guards against a release that gets no connection while attempts wait for responses of
+// unresponsive workers.
 TEST_CASE(
     "ordinary work at its limit of a shared budget leaves the reserved connections to releases, and no "
     "more") {
   io::Loop loop(io::Loop::Clock::simulated);
-  RawServer unresponsive, reachable;
+  RawServer unresponsive;
+  RawServer reachable;
   const auto budget = std::make_shared<http::ConnectionBudget>(kMaxOpen, kReservedForReleases);
   const auto unresponsive_pool =
       std::make_shared<http::Pool>(loop, unresponsive.address(), limits_with(budget));
   const auto reachable_pool = std::make_shared<http::Pool>(loop, reachable.address(), limits_with(budget));
-  ConnectionHolder attempts(loop), releases(loop);
+  ConnectionHolder attempts(loop);
+  ConnectionHolder releases(loop);
   attempts.acquire(unresponsive_pool, http::Priority::ordinary, 2 * kMaxOpen);
   run_for(loop, 300);
   CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
@@ -123,7 +127,8 @@
   limits.max_open = kMaxOpen;
   limits.reserved_for_releases = kReservedForReleases;
   const auto pool = std::make_shared<http::Pool>(loop, server.address(), limits);
-  ConnectionHolder attempts(loop), releases(loop);
+  ConnectionHolder attempts(loop);
+  ConnectionHolder releases(loop);
   attempts.acquire(pool, http::Priority::ordinary, 2 * kMaxOpen);
   run_for(loop, 300);
   CHECK(attempts.acquired == kMaxOpen - kReservedForReleases);
@@ -137,15 +142,17 @@
   CHECK(pool->open_count() == kMaxOpen);
 }
 
-// Guards against releases to unresponsive peers that use up the connections for reachable ones.
+// Guards against releases to unresponsive workers that use up the connections for reachable ones.
 TEST_CASE("a release at the limit preempts the oldest release, but not one that has just started") {
   io::Loop loop(io::Loop::Clock::simulated);
-  RawServer unresponsive, reachable;
+  RawServer unresponsive;
+  RawServer reachable;
   const auto budget = std::make_shared<http::ConnectionBudget>(kMaxOpen, kReservedForReleases);
   const auto unresponsive_pool =
       std::make_shared<http::Pool>(loop, unresponsive.address(), limits_with(budget));
   const auto reachable_pool = std::make_shared<http::Pool>(loop, reachable.address(), limits_with(budget));
-  ConnectionHolder attempts(loop), releases(loop);
+  ConnectionHolder attempts(loop);
+  ConnectionHolder releases(loop);
   attempts.acquire(unresponsive_pool, http::Priority::ordinary, kMaxOpen - kReservedForReleases);
   releases.acquire(unresponsive_pool, http::Priority::release, kReservedForReleases);
   run_for(loop, 5);
