--- a/core/counters.h
+++ b/core/counters.h
@@ -51,6 +51,7 @@
       return attempts_.Add({{"stage", std::string(stage)}, {"outcome", std::string(outcome)}});
     }).Increment();
   }
+  // A request that could not be read, or that was rejected before it reached the policy.
   void count_refusal(int status) { refusals_.Add({{"status", std::to_string(status)}}).Increment(); }
   void observe_first_token(std::string_view type, double seconds) {
     find_or_add(first_token_histograms_, type, {}, [&]() -> prometheus::Histogram& {
