--- a/programs/day.cpp
+++ b/programs/day.cpp
@@ -45,7 +45,7 @@
               << scenario->length / io::kSecond << " s\n"
               << std::flush;
     const std::vector<std::string> failures = rig::run_scenario(*scenario, programs, folder, net);
-    const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), scenario->book);
+    const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), scenario->rule_settings);
     std::cout << verdict.text();
     for (const std::string& failure : failures) std::cout << "failed: " << failure << '\n';
     return verdict.passed() && failures.empty() ? kSuccess : kFailure;
--- a/programs/verdict.cpp
+++ b/programs/verdict.cpp
@@ -11,7 +11,7 @@
   app.add_option("DIR", folder, "the folder with the records of cressrill-day")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   return run_guarded("cressrill-verdict", [&] {
-    const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), rig::read_rule_book(folder));
+    const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), rig::read_rule_settings(folder));
     std::cout << verdict.text();
     return verdict.passed() ? kSuccess : kFailure;
   });
--- a/rig/load_generator.cpp
+++ b/rig/load_generator.cpp
@@ -65,7 +65,7 @@
 
 io::Task<> LoadGenerator::run_turn(Session& session) {
   const Traffic& traffic = scenario_.traffic[session.traffic];
-  const RuleSettings::Type& type = scenario_.book.types.at(traffic.type);
+  const RuleSettings::Type& type = scenario_.rule_settings.types.at(traffic.type);
   const auto index = static_cast<std::size_t>(
       std::ranges::find_if(scenario_.config.type_rules,
                            [&](const core::TrafficTypeRule& r) { return r.name == traffic.type; }) -
--- a/rig/scenario.cpp
+++ b/rig/scenario.cpp
@@ -14,8 +14,8 @@
 
 constexpr double kHourMs = 3'600'000;
 
-// The kinds of faults, what each is injected into, and its size and duration when it is played alone. The
-// sizes and durations are typical of what fleets have recorded.
+// A kind of fault, what it is injected into, and its size and duration when it is the only fault of a
+// scenario. The sizes and durations are typical of faults recorded in fleets.
 struct FaultKind {
   const char* name;
   enum class Targets { one_router, all_routers, one_engine, many_engines, none } targets;
@@ -45,16 +45,17 @@
     {"give_up", Targets::none, 0.4, 8000},
 };
 
-bool targets_routers(const FaultKind& k) {
-  return k.targets == Targets::one_router || k.targets == Targets::all_routers;
+bool targets_routers(const FaultKind& kind) {
+  return kind.targets == Targets::one_router || kind.targets == Targets::all_routers;
 }
-bool targets_engines(const FaultKind& k) {
-  return k.targets == Targets::one_engine || k.targets == Targets::many_engines;
+bool targets_engines(const FaultKind& kind) {
+  return kind.targets == Targets::one_engine || kind.targets == Targets::many_engines;
 }
 
 const FaultKind* find_kind(const std::string& name) {
-  const auto it = std::ranges::find_if(kFaultKinds, [&](const FaultKind& k) { return name == k.name; });
-  return it == std::end(kFaultKinds) ? nullptr : it;
+  const auto found =
+      std::ranges::find_if(kFaultKinds, [&](const FaultKind& kind) { return name == kind.name; });
+  return found == std::end(kFaultKinds) ? nullptr : found;
 }
 
 Traffic read_traffic(core::TomlTable& table) {
@@ -90,10 +91,10 @@
     table.add_error("kind", "is '" + fault.kind + "', which is not known");
     return fault;
   }
-  const bool router_found =
-      std::ranges::any_of(scenario.routers, [&](auto& r) { return matches(fault.routers, r.name); });
-  const bool engine_found =
-      std::ranges::any_of(scenario.engines, [&](auto& e) { return matches(fault.engines, e.name); });
+  const bool router_found = std::ranges::any_of(
+      scenario.routers, [&](auto& router) { return matches(fault.routers, router.name); });
+  const bool engine_found = std::ranges::any_of(
+      scenario.engines, [&](auto& engine) { return matches(fault.engines, engine.name); });
   if (targets_routers(*kind) && !router_found) table.add_error("routers", "names no router of this scenario");
   if (targets_engines(*kind) && !engine_found) table.add_error("engines", "names no engine of this scenario");
   return fault;
@@ -111,28 +112,30 @@
   return settings;
 }
 
-// The tables of the scenario that belong into every router's configuration file, as text.
-std::string shared_text(const toml::table& file) {
-  toml::table out;
+// The tables of the scenario file that every router's configuration file contains, as text.
+std::string shared_tables(const toml::table& file) {
+  toml::table shared;
   for (const char* key : {"rules", "bounds", "kind", "traffic_type", "tenant"})
-    if (const toml::node* node = file.get(key)) node->visit([&](const auto& n) { out.insert(key, n); });
+    if (const toml::node* node = file.get(key))
+      node->visit([&](const auto& value) { shared.insert(key, value); });
   std::ostringstream text;
-  text << toml::toml_formatter(out);
+  text << toml::toml_formatter(shared);
   return text.str() + "\n";
 }
 
 }  // namespace
 
 bool matches(const std::vector<std::string>& patterns, const std::string& name) {
-  return std::ranges::any_of(patterns, [&](const std::string& p) {
-    return p.ends_with('*') ? name.starts_with(std::string_view(p).substr(0, p.size() - 1)) : p == name;
+  return std::ranges::any_of(patterns, [&](const std::string& pattern) {
+    return pattern.ends_with('*') ? name.starts_with(std::string_view(pattern).substr(0, pattern.size() - 1))
+                                  : pattern == name;
   });
 }
 
 std::vector<std::string> fault_kinds() {
-  std::vector<std::string> out;
-  for (const FaultKind& k : kFaultKinds) out.emplace_back(k.name);
-  return out;
+  std::vector<std::string> names;
+  for (const FaultKind& kind : kFaultKinds) names.emplace_back(kind.name);
+  return names;
 }
 
 void keep_only_fault(Scenario& scenario, const std::string& name) {
@@ -145,8 +148,8 @@
   fault.start = scenario.length / 3;
   if (kind->targets == Targets::one_router) fault.routers = {scenario.routers.front().name};
   if (kind->targets == Targets::all_routers) fault.routers = {"*"};
-  // A quarter of the engines, spread over the fleet; one engine for the kinds that concern one; all for a
-  // flush.
+  // A fault of one engine is injected into the second one, a flush into all, every other kind into a quarter
+  // of the engines, spread over the fleet.
   const std::size_t step = kind->targets == Targets::one_engine ? scenario.engines.size() : 4;
   if (targets_engines(*kind))
     for (std::size_t i = 1 % scenario.engines.size(); i < scenario.engines.size(); i += step)
@@ -156,9 +159,9 @@
   scenario.name += ", " + name + " alone";
 }
 
-std::string router_file(const Scenario& scenario, const RouterEntry& router, const std::string& listen,
-                        const std::string& admin, const std::string& discovery_address,
-                        const std::string& last_list) {
+std::string router_file(const Scenario& scenario, const RouterEntry& router,
+                        const std::string& listen_address, const std::string& admin_address,
+                        const std::string& discovery_address, const std::string& last_list_path) {
   std::string zones;
   for (const std::string& zone : scenario.config.zones)
     zones += (zones.empty() ? "\"" : ", \"") + zone + "\"";
@@ -166,8 +169,8 @@
              "[router]\nname = \"{}\"\nlisten = \"{}\"\nadmin = \"{}\"\nroster = \"{}\"\nlast_list = "
              "\"{}\"\nzone = \"{}\"\n"
              "zones = [{}]\nrouters = {}\ntick_ms = {}\nlog_level = \"debug\"\n\n",
-             router.name, listen, admin, discovery_address, last_list, router.zone, zones,
-             scenario.routers.size(), static_cast<double>(scenario.config.settings.tick) / 1e6) +
+             router.name, listen_address, admin_address, discovery_address, last_list_path, router.zone,
+             zones, scenario.routers.size(), static_cast<double>(scenario.config.settings.tick) / 1e6) +
          scenario.shared_toml;
 }
 
@@ -221,11 +224,11 @@
     scenario.faults.push_back(read_fault(table, scenario));
   for (const char* key : {"rules", "bounds", "kind", "traffic_type", "tenant"}) root.ignore(key);
   root.report_unknown_keys();
-  scenario.shared_toml = shared_text(*file);
+  scenario.shared_toml = shared_tables(*file);
   if (errors.size() > errors_before || scenario.routers.empty()) return std::nullopt;
 
-  // The router's own parser checks the shared tables, in a temporary configuration file. The line numbers of
-  // its errors would refer to that file: they are left out.
+  // The router's own parser checks the shared tables in a temporary configuration file. Its line numbers
+  // refer to that file, so they are left out of the errors.
   const std::string trial_path =
       fmt::format("/tmp/cressrill-day-{}.toml", static_cast<const void*>(&scenario));
   std::ofstream(trial_path) << router_file(scenario, scenario.routers.front(), "127.0.0.1:1", "",
@@ -247,17 +250,17 @@
                              [&](const EngineConfig& engine) { return engine.kind == kind; }))
       errors.push_back({path, 0, 0, "kind '" + kind + "' has no engine"});
 
-  scenario.book.drain_grace = config->drain_grace;
-  scenario.book.pin_limit = config->settings.kv_hold_limit;
+  scenario.rule_settings.drain_grace = config->drain_grace;
+  scenario.rule_settings.pin_limit = config->settings.kv_hold_limit;
   for (std::size_t i = 0; i < config->type_rules.size(); ++i) {
     const TrafficType& type = config->settings.types[i];
-    RuleSettings::Type& rules = scenario.book.types[config->type_rules[i].name];
+    RuleSettings::Type& rules = scenario.rule_settings.types[config->type_rules[i].name];
     rules = {type.effect, type.group, type.window, type.utility, 0.2};
     for (const Traffic& traffic : scenario.traffic)
       if (traffic.type == config->type_rules[i].name) rules.late_share = traffic.late_share;
   }
   for (const Traffic& traffic : scenario.traffic)
-    if (!scenario.book.types.contains(traffic.type))
+    if (!scenario.rule_settings.types.contains(traffic.type))
       errors.push_back(
           {path, 0, 0, "traffic of type '" + traffic.type + "', which no [[traffic_type]] names"});
   if (errors.size() > errors_before) return std::nullopt;
--- a/rig/scenario_runner.cpp
+++ b/rig/scenario_runner.cpp
@@ -259,13 +259,13 @@
 
 }  // namespace
 
-void write_rule_book(const RuleSettings& book, const std::string& folder) {
-  json out{{"answer_slack", book.answer_slack},
-           {"drain_grace", book.drain_grace},
-           {"pin_limit", book.pin_limit},
-           {"pin_slack", book.pin_slack},
+void write_rule_settings(const RuleSettings& settings, const std::string& folder) {
+  json out{{"answer_slack", settings.answer_slack},
+           {"drain_grace", settings.drain_grace},
+           {"pin_limit", settings.pin_limit},
+           {"pin_slack", settings.pin_slack},
            {"types", json::object()}};
-  for (const auto& [name, type] : book.types)
+  for (const auto& [name, type] : settings.types)
     out["types"][name] = {{"effect", static_cast<int>(type.effect)},
                           {"group", static_cast<int>(type.group)},
                           {"window", type.window},
@@ -274,7 +274,7 @@
   std::ofstream(folder + "/rules.json") << out.dump(2) << '\n';
 }
 
-RuleSettings read_rule_book(const std::string& folder) {
+RuleSettings read_rule_settings(const std::string& folder) {
   std::ifstream file(folder + "/rules.json");
   if (!file) throw std::invalid_argument(folder + "/rules.json cannot be read");
   const json from = json::parse(file);
@@ -313,7 +313,7 @@
   for (const auto& entry : files::directory_iterator(folder))
     throw std::invalid_argument("folder " + folder + " is not empty: it holds " +
                                 entry.path().filename().string());
-  write_rule_book(scenario.book, folder);
+  write_rule_settings(scenario.rule_settings, folder);
   return ScenarioRunner(scenario, programs, folder, net).run();
 }
 
--- a/rig/scenario_runner.h
+++ b/rig/scenario_runner.h
@@ -18,8 +18,8 @@
 };
 
 // Stores the settings that the rules are checked with beside the records.
-void write_rule_book(const RuleSettings& book, const std::string& folder);
-RuleSettings read_rule_book(const std::string& folder);
+void write_rule_settings(const RuleSettings& settings, const std::string& folder);
+RuleSettings read_rule_settings(const std::string& folder);
 // Reads all records of a folder. Throws std::invalid_argument with the file and line of a record that cannot
 // be read.
 std::vector<Recorder::Line> read_records(const std::string& folder);
