--- a/rig/scenario_runner.cpp
+++ b/rig/scenario_runner.cpp
@@ -18,16 +18,17 @@
 
 class ScenarioRunner {
  public:
-  ScenarioRunner(const Scenario& scenario, const Programs& programs, const std::string& folder, int net)
+  ScenarioRunner(const Scenario& scenario, const Programs& programs, const std::string& folder,
+                 int second_byte)
       : scenario_(scenario),
         programs_(programs),
         folder_(folder),
-        net_(static_cast<std::uint32_t>(net)),
+        second_byte_(static_cast<std::uint32_t>(second_byte)),
         record_(loop_, folder + "/clients.jsonl"),
         scope_(loop_),
         load_(loop_, scenario_, record_, [this](std::size_t i) { return router_address(i); }) {
-    // Each engine has an address of its own. Ports are fixed, so a second scenario on the same net cannot
-    // start.
+    // Each engine has an address of its own. Ports are fixed, so a second scenario with the same second byte
+    // of the addresses cannot start.
     for (std::size_t i = 0; i < scenario_.engines.size(); ++i)
       scenario_.engines[i].address =
           address(static_cast<std::uint32_t>(11 + i / 200), 1 + i % 200, 19100).to_string();
@@ -42,39 +43,41 @@
 
  private:
   io::Address address(std::uint32_t third, std::size_t fourth, std::uint16_t port) const {
-    return {127u << 24 | net_ << 16 | third << 8 | static_cast<std::uint32_t>(fourth), port};
+    return {127u << 24 | second_byte_ << 16 | third << 8 | static_cast<std::uint32_t>(fourth), port};
   }
-  io::Address router_address(std::size_t i) const { return address(10, 1 + i, 18080); }
-  io::Address admin_address(std::size_t i) const { return address(10, 1 + i, 18081); }
+  io::Address router_address(std::size_t router) const { return address(10, 1 + router, 18080); }
+  io::Address admin_address(std::size_t router) const { return address(10, 1 + router, 18081); }
   io::Address discovery_address() const { return address(9, 1, 17000); }
   io::Address control_address() const { return address(9, 2, 17001); }
 
-  void start_router(std::size_t i) {
-    routers_[i] =
-        Process(router_commands_[i], fmt::format("{}/log-{}.txt", folder_, scenario_.routers[i].name));
+  void start_router(std::size_t router) {
+    routers_[router] = Process(router_commands_[router],
+                               fmt::format("{}/log-{}.txt", folder_, scenario_.routers[router].name));
   }
 
-  io::Task<http::ExchangeResult> exchange(io::Address at, std::string method, std::string target,
+  // Sends a request on a new connection. Without a response within 2 s the result is not ok().
+  io::Task<http::ExchangeResult> exchange(io::Address server, std::string method, std::string target,
                                           std::string body) {
-    auto pool = std::make_shared<http::Pool>(loop_, at);
-    const std::string text = http::format_request(method, target, at.to_string(), "", body);
+    auto pool = std::make_shared<http::Pool>(loop_, server);
+    const std::string request = http::format_request(method, target, server.to_string(), "", body);
     auto response =
-        co_await io::with_deadline(loop_, loop_.now() + 2 * io::kSecond, http::exchange(pool, text));
+        co_await io::with_deadline(loop_, loop_.now() + 2 * io::kSecond, http::exchange(pool, request));
     co_return response ? std::move(*response) : http::ExchangeResult{};
   }
 
-  // Polls until a response satisfies the test; false after 15 s.
-  io::Task<bool> poll_until(io::Address at, std::string target,
-                            std::function<bool(const std::string&)> test) {
-    const io::Nanos last = loop_.now() + 15 * io::kSecond;
-    while (loop_.now() < last) {
-      const http::ExchangeResult response = co_await exchange(at, "GET", target, "");
-      if (response.ok() && response.head.status == 200 && test(response.body)) co_return true;
+  // Polls until the body of a response satisfies the predicate; false after 15 s.
+  io::Task<bool> poll_until(io::Address server, std::string target,
+                            std::function<bool(const std::string&)> predicate) {
+    const io::Nanos deadline = loop_.now() + 15 * io::kSecond;
+    while (loop_.now() < deadline) {
+      const http::ExchangeResult response = co_await exchange(server, "GET", target, "");
+      if (response.ok() && response.head.status == 200 && predicate(response.body)) co_return true;
       co_await loop_.sleep_for(30 * io::kMs);
     }
     co_return false;
   }
 
+  // Starts discovery, engines and routers in this order, each when the one before is ready.
   io::Task<bool> start_all() {
     std::ofstream(folder_ + "/engines.toml") << engines_file(scenario_);
     discovery_ = Process({programs_.discovery, "--listen", discovery_address().to_string(), "--record",
@@ -97,12 +100,12 @@
     }
     routers_.resize(scenario_.routers.size());
     for (std::size_t i = 0; i < scenario_.routers.size(); ++i) {
-      const std::string base = fmt::format("{}/{}", folder_, scenario_.routers[i].name);
-      std::ofstream(base + ".toml") << router_file(
+      const std::string path_prefix = fmt::format("{}/{}", folder_, scenario_.routers[i].name);
+      std::ofstream(path_prefix + ".toml") << router_file(
           scenario_, scenario_.routers[i], router_address(i).to_string(), admin_address(i).to_string(),
-          discovery_address().to_string(), base + ".last-list");
+          discovery_address().to_string(), path_prefix + ".last-list");
       router_commands_.push_back(programs_.router);
-      router_commands_.back().insert(router_commands_.back().end(), {"--config", base + ".toml"});
+      router_commands_.back().insert(router_commands_.back().end(), {"--config", path_prefix + ".toml"});
       start_router(i);
     }
     for (std::size_t i = 0; i < scenario_.routers.size(); ++i)
@@ -129,20 +132,20 @@
   // Sends SIGTERM to all programs; each has to exit with status 0 in time.
   io::Task<> stop_all() {
     for (Process& process : routers_) process.terminate();
-    const io::Nanos last = loop_.now() + 10 * io::kSecond;
+    const io::Nanos deadline = loop_.now() + 10 * io::kSecond;
     for (std::size_t i = 0; i < routers_.size(); ++i) {
-      while (routers_[i].running() && loop_.now() < last) co_await loop_.sleep_for(20 * io::kMs);
+      while (routers_[i].running() && loop_.now() < deadline) co_await loop_.sleep_for(20 * io::kMs);
       if (routers_[i].running())
         failures_.push_back("router " + scenario_.routers[i].name + " did not stop after SIGTERM");
       else if (routers_[i].status() != 0)
         failures_.push_back(
             fmt::format("router {} ended with {}", scenario_.routers[i].name, routers_[i].status()));
     }
-    // Gives the engines time to handle the last releases, so that the record shows how KV cache was freed.
+    // Gives the engines time to handle the last releases, so that the records show how KV cache was freed.
     co_await loop_.sleep_for(200 * io::kMs);
     for (Process* process : {&engines_, &discovery_}) {
       process->terminate();
-      while (process->running() && loop_.now() < last + 5 * io::kSecond)
+      while (process->running() && loop_.now() < deadline + 5 * io::kSecond)
         co_await loop_.sleep_for(20 * io::kMs);
       if (process->status() != 0 && !(process == &discovery_ && discovery_killed_))
         failures_.push_back(fmt::format("the {} ended with {}", process == &discovery_ ? "roster" : "engines",
@@ -154,32 +157,33 @@
     return {engine.name, engine.address, status, 0, engine.kind, engine.zone, engine.cell};
   }
 
-  io::Task<> restart_router(std::size_t i, io::Nanos downtime) {
-    record_.record("router_killed", {{"router", scenario_.routers[i].name}});
-    routers_[i].kill();
-    load_.router_stopped(i);
+  io::Task<> restart_router(std::size_t router, io::Nanos downtime) {
+    record_.record("router_killed", {{"router", scenario_.routers[router].name}});
+    routers_[router].kill();
+    load_.router_stopped(router);
     co_await loop_.sleep_for(downtime);
-    start_router(i);
-    if (co_await poll_until(admin_address(i), "/health", [](const std::string&) { return true; })) {
-      load_.router_restarted(i);
-      record_.record("router_up", {{"router", scenario_.routers[i].name}});
+    start_router(router);
+    if (co_await poll_until(admin_address(router), "/health", [](const std::string&) { return true; })) {
+      load_.router_restarted(router);
+      record_.record("router_up", {{"router", scenario_.routers[router].name}});
     } else {
-      failures_.push_back("router " + scenario_.routers[i].name + " did not start again");
+      failures_.push_back("router " + scenario_.routers[router].name + " did not start again");
     }
   }
 
+  // Lists the engine as draining, and after the duration as ready again; 0: it stays draining.
   io::Task<> drain(const EngineConfig& engine, io::Nanos duration) {
-    const std::string out =
+    const std::string draining =
         core::serialize_worker_list({0, false, {list_entry(engine, WorkerStatus::draining)}});
-    co_await exchange(discovery_address(), "POST", "/v1/workers", out);
+    co_await exchange(discovery_address(), "POST", "/v1/workers", draining);
     if (duration == 0) co_return;
     co_await loop_.sleep_for(duration);
-    const std::string back =
+    const std::string ready =
         core::serialize_worker_list({0, false, {list_entry(engine, WorkerStatus::ready)}});
-    co_await exchange(discovery_address(), "POST", "/v1/workers", back);
+    co_await exchange(discovery_address(), "POST", "/v1/workers", ready);
   }
 
-  io::Task<> engine_fault(std::string engine, ScheduledFault fault) {
+  io::Task<> inject_into_engine(std::string engine, ScheduledFault fault) {
     const std::string body = json{
         {"engine", engine},
         {"kind", fault.kind},
@@ -202,14 +206,14 @@
       if (matches(fault.engines, engine.name)) engines.push_back(&engine);
     if (fault.kind == "balancer_crash") {
       for (const std::size_t i : routers) scope_.spawn(restart_router(i, fault.duration));
-    } else if (fault.kind == "balancer_roll") {  // one after another over the duration, each down for size ms
+    } else if (fault.kind == "balancer_roll") {  // one router after another, each down for `size` ms
       for (const std::size_t i : routers) {
         scope_.spawn(restart_router(i, static_cast<io::Nanos>(fault.size * 1e6)));
         co_await loop_.sleep_for(fault.duration / static_cast<io::Nanos>(routers.size()));
       }
-    } else if (fault.kind == "mass_restart") {  // all at once; they restart cold
+    } else if (fault.kind == "mass_restart") {  // all engines at once; they restart cold
       fault.kind = "crash";
-      for (const EngineConfig* engine : engines) scope_.spawn(engine_fault(engine->name, fault));
+      for (const EngineConfig* engine : engines) scope_.spawn(inject_into_engine(engine->name, fault));
     } else if (fault.kind == "drain") {
       for (const EngineConfig* engine : engines) scope_.spawn(drain(*engine, fault.duration));
     } else if (fault.kind == "discovery_stale") {
@@ -238,20 +242,21 @@
       co_await loop_.sleep_for(fault.duration);
       load_.set_timeout_factor(1);
     } else {
-      for (const EngineConfig* engine : engines) scope_.spawn(engine_fault(engine->name, fault));
+      for (const EngineConfig* engine : engines) scope_.spawn(inject_into_engine(engine->name, fault));
     }
   }
 
   Scenario scenario_;
   const Programs& programs_;
   std::string folder_;
-  std::uint32_t net_;
+  std::uint32_t second_byte_;  // of the loopback addresses
   io::Loop loop_;
   Recorder record_;
   std::vector<std::string> failures_;
   std::vector<std::vector<std::string>> router_commands_;
-  Process discovery_, engines_;
-  bool discovery_killed_{};
+  Process discovery_;
+  Process engines_;          // one process for all engines
+  bool discovery_killed_{};  // by a fault
   std::vector<Process> routers_;
   io::Scope scope_;
   LoadGenerator load_;
@@ -260,61 +265,61 @@
 }  // namespace
 
 void write_rule_settings(const RuleSettings& settings, const std::string& folder) {
-  json out{{"answer_slack", settings.answer_slack},
-           {"drain_grace", settings.drain_grace},
-           {"pin_limit", settings.pin_limit},
-           {"pin_slack", settings.pin_slack},
-           {"types", json::object()}};
+  json stored{{"answer_slack", settings.answer_slack},
+              {"drain_grace", settings.drain_grace},
+              {"pin_limit", settings.pin_limit},
+              {"pin_slack", settings.pin_slack},
+              {"types", json::object()}};
   for (const auto& [name, type] : settings.types)
-    out["types"][name] = {{"effect", static_cast<int>(type.effect)},
-                          {"group", static_cast<int>(type.group)},
-                          {"window", type.window},
-                          {"utility", type.utility},
-                          {"late_share", type.late_share}};
-  std::ofstream(folder + "/rules.json") << out.dump(2) << '\n';
+    stored["types"][name] = {{"effect", static_cast<int>(type.effect)},
+                             {"group", static_cast<int>(type.group)},
+                             {"window", type.window},
+                             {"utility", type.utility},
+                             {"late_share", type.late_share}};
+  std::ofstream(folder + "/rules.json") << stored.dump(2) << '\n';
 }
 
 RuleSettings read_rule_settings(const std::string& folder) {
   std::ifstream file(folder + "/rules.json");
   if (!file) throw std::invalid_argument(folder + "/rules.json cannot be read");
-  const json from = json::parse(file);
-  RuleSettings out;
-  from.at("answer_slack").get_to(out.answer_slack);
-  from.at("drain_grace").get_to(out.drain_grace);
-  from.at("pin_limit").get_to(out.pin_limit);
-  from.at("pin_slack").get_to(out.pin_slack);
-  for (const auto& [name, type] : from.at("types").items())
-    out.types[name] = {type.at("effect").get<Effect>(), type.at("group").get<Group>(),
-                       type.at("window").get<Nanos>(), type.at("utility").get<double>(),
-                       type.at("late_share").get<double>()};
-  return out;
+  const json stored = json::parse(file);
+  RuleSettings settings;
+  stored.at("answer_slack").get_to(settings.answer_slack);
+  stored.at("drain_grace").get_to(settings.drain_grace);
+  stored.at("pin_limit").get_to(settings.pin_limit);
+  stored.at("pin_slack").get_to(settings.pin_slack);
+  for (const auto& [name, type] : stored.at("types").items())
+    settings.types[name] = {type.at("effect").get<Effect>(), type.at("group").get<Group>(),
+                            type.at("window").get<Nanos>(), type.at("utility").get<double>(),
+                            type.at("late_share").get<double>()};
+  return settings;
 }
 
 std::vector<Recorder::Line> read_records(const std::string& folder) {
-  std::vector<Recorder::Line> out;
+  std::vector<Recorder::Line> records;
   for (const char* name : kRecordFiles) {
     std::ifstream file(folder + "/" + name);
     if (!file) throw std::invalid_argument(folder + "/" + name + " cannot be read");
-    std::size_t number = 0;
+    std::size_t line_number = 0;
     for (std::string line; std::getline(file, line);) {
-      ++number;
+      ++line_number;
       auto parsed = Recorder::Line::parse(line, nullptr, false);
       if (!parsed.is_object() || !parsed.contains("t") || !parsed.contains("e"))
-        throw std::invalid_argument(fmt::format("{}/{}:{}: not a record", folder, name, number));
-      out.push_back(std::move(parsed));
+        throw std::invalid_argument(fmt::format("{}/{}:{}: not a record", folder, name, line_number));
+      records.push_back(std::move(parsed));
     }
   }
-  return out;
+  return records;
 }
 
 std::vector<std::string> run_scenario(const Scenario& scenario, const Programs& programs,
-                                      const std::string& folder, int net) {
+                                      const std::string& folder, int second_byte) {
   files::create_directories(folder);
   for (const auto& entry : files::directory_iterator(folder))
     throw std::invalid_argument("folder " + folder + " is not empty: it holds " +
                                 entry.path().filename().string());
   write_rule_settings(scenario.rule_settings, folder);
-  return ScenarioRunner(scenario, programs, folder, net).run();
+  return ScenarioRunner(scenario, programs, folder, second_byte).run();
 }
 
 }  // namespace cressrill::rig
--- a/rig/scenario_runner.h
+++ b/rig/scenario_runner.h
@@ -1,5 +1,5 @@
 // Runs a scenario on real processes: starts the discovery stand-in, engines and routers on loopback,
-// generates the load, injects the scheduled faults, and leaves all records in one folder.
+// generates the load, injects the scheduled faults, and writes all records to one folder.
 #pragma once
 
 #include <map>
@@ -11,10 +11,11 @@
 
 namespace cressrill::rig {
 
+// The programs that a scenario runs.
 struct Programs {
   std::vector<std::string> router;  // the command, to which --config FILE is appended
-  std::string engine;
-  std::string discovery;
+  std::string engine;               // path
+  std::string discovery;            // path
 };
 
 // Stores the settings that the rules are checked with beside the records.
@@ -24,10 +25,10 @@
 // be read.
 std::vector<Recorder::Line> read_records(const std::string& folder);
 
-// net: the second byte of the loopback addresses that are used, so that several scenarios can run at once.
-// Returns the failures of the programs themselves, such as a bad exit status. Throws std::invalid_argument if
-// the folder is not empty.
+// second_byte: of the loopback addresses; scenarios with different ones can run at once. Returns the failures
+// of the programs themselves, such as a bad exit status. Throws std::invalid_argument if the folder is not
+// empty.
 std::vector<std::string> run_scenario(const Scenario& scenario, const Programs& programs,
-                                      const std::string& folder, int net = 0);
+                                      const std::string& folder, int second_byte = 0);
 
 }  // namespace cressrill::rig
