--- a/programs/cost.cpp
+++ b/programs/cost.cpp
@@ -16,13 +16,13 @@
 #include "command_line.h"
 
 using namespace cressrill;
-using rig::Cost;
-using rig::heap;
+using rig::memory_counters;
+using rig::ResourceUsage;
 using rig::Stage;
 using rig::Workload;
 using rig::WorkloadCost;
 
-// Hooks that replace the allocation and copy functions: they update the counts and call the real function.
+// Hooks that replace the allocation and copy functions: they update the counters and call the real function.
 
 namespace {
 using CopyFunction = void* (*)(void*, const void*, std::size_t);
@@ -33,33 +33,33 @@
   real_memmove = reinterpret_cast<CopyFunction>(dlsym(RTLD_NEXT, "memmove"));
 }
 void* copy_bytewise(void* to, const void* from, std::size_t size) {
-  auto* out = static_cast<volatile char*>(to);
-  const auto* in = static_cast<const volatile char*>(from);
-  if (in < out)
-    while (size-- > 0) out[size] = in[size];
+  auto* target = static_cast<volatile char*>(to);
+  const auto* source = static_cast<const volatile char*>(from);
+  if (source < target)
+    while (size-- > 0) target[size] = source[size];
   else
-    for (std::size_t i = 0; i < size; ++i) out[i] = in[i];
+    for (std::size_t i = 0; i < size; ++i) target[i] = source[i];
   return to;
 }
 
 void* allocate(std::size_t size, std::size_t align = 0) {
-  if (heap.on) {
-    ++heap.allocations;
-    heap.bytes += size;
+  if (memory_counters.enabled) {
+    ++memory_counters.allocations;
+    memory_counters.heap_bytes += size;
   }
-  void* p = align == 0 ? std::malloc(size == 0 ? 1 : size)
-                       : std::aligned_alloc(align, (size + align - 1) / align * align);
-  if (p == nullptr) throw std::bad_alloc();
-  return p;
+  void* memory = align == 0 ? std::malloc(size == 0 ? 1 : size)
+                            : std::aligned_alloc(align, (size + align - 1) / align * align);
+  if (memory == nullptr) throw std::bad_alloc();
+  return memory;
 }
 }  // namespace
 
 extern "C" void* memcpy(void* to, const void* from, std::size_t size) {
-  if (heap.on) heap.copied += size;
+  if (memory_counters.enabled) memory_counters.copied += size;
   return (real_memcpy == nullptr ? copy_bytewise : real_memcpy)(to, from, size);
 }
 extern "C" void* memmove(void* to, const void* from, std::size_t size) {
-  if (heap.on) heap.copied += size;
+  if (memory_counters.enabled) memory_counters.copied += size;
   return (real_memmove == nullptr ? copy_bytewise : real_memmove)(to, from, size);
 }
 
@@ -102,114 +102,121 @@
   };
 }
 
-std::string row(const char* name, const Cost& c) {
-  std::string out = fmt::format("{:<10}{:>10.1f}{:>12.0f}{:>12.0f}{:>9.1f}", name, c.allocations, c.bytes,
-                                c.copied, c.calls);
-  if (c.instructions > 0) out += fmt::format("{:>14.0f}", c.instructions);
-  out += "  ";
+std::string row(const char* name, const ResourceUsage& usage) {
+  std::string text = fmt::format("{:<10}{:>10.1f}{:>12.0f}{:>12.0f}{:>9.1f}", name, usage.allocations,
+                                 usage.heap_bytes, usage.copied, usage.calls);
+  if (usage.instructions > 0) text += fmt::format("{:>14.0f}", usage.instructions);
+  text += "  ";
   for (std::size_t i = 0; i < io::kSystemCallCount; ++i)
-    if (c.calls_by_name[i] > 0.005)
-      out += fmt::format(" {} {:.1f}", io::kSystemCallNames[i], c.calls_by_name[i]);
-  return out + "\n";
+    if (usage.calls_by_name[i] > 0.005)
+      text += fmt::format(" {} {:.1f}", io::kSystemCallNames[i], usage.calls_by_name[i]);
+  return text + "\n";
 }
 
 std::string table(const Workload& workload, const WorkloadCost& cost) {
-  std::string out =
+  std::string text =
       fmt::format("{} ({} events, prompt of {} bytes)\n{:<10}{:>10}{:>12}{:>12}{:>9}{}  calls by name\n",
                   workload.name, workload.events, workload.prompt_bytes, "stage", "allocs", "heap bytes",
                   "copied", "calls", cost.all.instructions > 0 ? "  instructions" : "");
-  for (std::size_t s = 0; s < rig::kStages; ++s) out += row(to_string(static_cast<Stage>(s)), cost.stages[s]);
-  out += row("all", cost.all);
+  for (std::size_t stage = 0; stage < rig::kStageCount; ++stage)
+    text += row(to_string(static_cast<Stage>(stage)), cost.stages[stage]);
+  text += row("all", cost.all);
   if (cost.events > 0)
-    out += row("an event", cost.stages[static_cast<std::size_t>(Stage::event)] / cost.events);
-  return out;
+    text += row("an event", cost.stages[static_cast<std::size_t>(Stage::event)] / cost.events);
+  return text;
 }
 
 // The counts that are stored in the baseline file and compared with it, by name.
 std::map<std::string, double> baseline_counts(const Workload& workload, const WorkloadCost& cost) {
-  std::map<std::string, double> out;
-  const auto add = [&](const std::string& stage, const Cost& c) {
-    out[fmt::format("{} {} allocations", workload.name, stage)] = c.allocations;
-    out[fmt::format("{} {} heap-bytes", workload.name, stage)] = c.bytes;
-    out[fmt::format("{} {} copied", workload.name, stage)] = c.copied;
-    out[fmt::format("{} {} calls", workload.name, stage)] = c.calls;
-    if (c.instructions > 0) out[fmt::format("{} {} instructions", workload.name, stage)] = c.instructions;
+  std::map<std::string, double> counts;
+  const auto add = [&](const std::string& stage, const ResourceUsage& usage) {
+    counts[fmt::format("{} {} allocations", workload.name, stage)] = usage.allocations;
+    counts[fmt::format("{} {} heap-bytes", workload.name, stage)] = usage.heap_bytes;
+    counts[fmt::format("{} {} copied", workload.name, stage)] = usage.copied;
+    counts[fmt::format("{} {} calls", workload.name, stage)] = usage.calls;
+    if (usage.instructions > 0)
+      counts[fmt::format("{} {} instructions", workload.name, stage)] = usage.instructions;
   };
   add("all", cost.all);
   add("event", cost.stages[static_cast<std::size_t>(Stage::event)] / cost.events);
   add("parse", cost.stages[static_cast<std::size_t>(Stage::parse)]);
   add("decide", cost.stages[static_cast<std::size_t>(Stage::decide)]);
-  return out;
+  return counts;
 }
 
 std::map<std::string, double> read_counts(const std::string& file) {
   std::ifstream in(file);
   if (!in) throw std::runtime_error(file + ": cannot be read");
-  std::map<std::string, double> out;
-  int line = 0;
-  for (std::string text; std::getline(in, text);) {
-    ++line;
-    if (text.empty() || text.front() == '#') continue;
-    const std::size_t space = text.rfind(' ');
+  std::map<std::string, double> counts;
+  int line_number = 0;
+  for (std::string line; std::getline(in, line);) {
+    ++line_number;
+    if (line.empty() || line.front() == '#') continue;
+    const std::size_t space = line.rfind(' ');
     try {
-      out[text.substr(0, space)] = std::stod(text.substr(space + 1));
+      counts[line.substr(0, space)] = std::stod(line.substr(space + 1));
     } catch (const std::exception&) {
-      throw std::runtime_error(fmt::format("{}:{}: no count at the end of the line", file, line));
+      throw std::runtime_error(fmt::format("{}:{}: no count at the end of the line", file, line_number));
     }
   }
-  return out;
+  return counts;
 }
 
-// A count may exceed its baseline by a tenth; 0.01 more is allowed because a baseline can be 0.
+// Returns the exit status. A count may exceed its baseline by a tenth; 0.01 more is allowed because a
+// baseline can be 0.
 int compare(const std::map<std::string, double>& now, const std::string& file) {
   const std::map<std::string, double> baseline = read_counts(file);
-  std::size_t compared = 0, risen = 0;
+  std::size_t compared = 0;
+  std::size_t risen = 0;
   for (const auto& [name, value] : now) {
-    const auto it = baseline.find(name);
-    if (it == baseline.end()) {
+    const auto entry = baseline.find(name);
+    if (entry == baseline.end()) {
       ++risen;
       fmt::print("not in the baseline: {}\n", name);
       continue;
     }
     ++compared;
-    if (value <= it->second * 1.1 + 0.01) continue;
+    if (value <= entry->second * 1.1 + 0.01) continue;
     ++risen;
-    fmt::print("risen by more than a tenth: {} was {:.2f}, is {:.2f}\n", name, it->second, value);
+    fmt::print("risen by more than a tenth: {} was {:.2f}, is {:.2f}\n", name, entry->second, value);
   }
   fmt::print("{} counts compared with {}, {} risen or missing there\n", compared, file, risen);
   return compared > 0 && risen == 0 ? kSuccess : kFailure;
 }
 
-Cost* stage_cost(WorkloadCost& cost, const std::string& stage) {
-  for (std::size_t s = 0; s < rig::kStages; ++s)
-    if (stage == to_string(static_cast<Stage>(s))) return &cost.stages[s];
+// Null if no stage has this name.
+ResourceUsage* usage_of_stage(WorkloadCost& cost, const std::string& name) {
+  for (std::size_t stage = 0; stage < rig::kStageCount; ++stage)
+    if (name == to_string(static_cast<Stage>(stage))) return &cost.stages[stage];
   return nullptr;
 }
+
 // Runs this program again under callgrind for one workload, and adds the instructions of each stage from its
 // dumps.
-void add_instructions(const Workload& workload, WorkloadCost& cost, const std::string& self) {
-  char name[] = "/tmp/cressrill-cost-XXXXXX";
-  if (mkdtemp(name) == nullptr) throw std::runtime_error("cannot create a folder for callgrind's files");
-  const std::string folder = name;
+void add_instructions(const Workload& workload, WorkloadCost& cost, const std::string& this_program) {
+  char folder_template[] = "/tmp/cressrill-cost-XXXXXX";
+  if (mkdtemp(folder_template) == nullptr)
+    throw std::runtime_error("cannot create a folder for callgrind's files");
+  const std::string folder = folder_template;
   const std::string command = fmt::format(
       "SIMDJSON_FORCE_IMPLEMENTATION=westmere valgrind --tool=callgrind --collect-atstart=no "
       "--callgrind-out-file={0}/out {1} --play {2} --dump "
       ">{0}/log 2>&1",
-      folder, self, workload.name);
+      folder, this_program, workload.name);
   if (std::system(command.c_str()) != 0)
     throw std::runtime_error("valgrind failed to run " + workload.name + ": " + folder);
-  const double n = workload.rounds * workload.concurrency;
+  const double requests = workload.rounds * workload.concurrency;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     std::ifstream in(entry.path());
     std::string stage;
-    for (std::string text; std::getline(in, text);) {
-      if (const std::size_t at = text.find("Client Request: "); at != std::string::npos)
-        stage = text.substr(at + 16);
-      if (!text.starts_with("summary: ") && !text.starts_with("totals: ")) continue;
-      if (Cost* of_stage = stage_cost(cost, stage)) {
-        const double spent = std::stod(text.substr(text.find(' '))) / n;
-        of_stage->instructions += spent;
-        if (stage != to_string(Stage::parse)) cost.all.instructions += spent;
+    for (std::string line; std::getline(in, line);) {
+      if (const std::size_t position = line.find("Client Request: "); position != std::string::npos)
+        stage = line.substr(position + 16);
+      if (!line.starts_with("summary: ") && !line.starts_with("totals: ")) continue;
+      if (ResourceUsage* usage = usage_of_stage(cost, stage)) {
+        const double instructions = std::stod(line.substr(line.find(' '))) / requests;
+        usage->instructions += instructions;
+        if (stage != to_string(Stage::parse)) cost.all.instructions += instructions;
       }
       break;
     }
@@ -222,15 +229,17 @@
 int main(int argc, char** argv) {
   CLI::App app{"Counts what one request costs the router, by stage; all servers are stand-ins.",
                "cressrill-cost"};
-  std::vector<std::string> names, with_instructions;
-  std::string compared, written;
+  std::vector<std::string> selected;
+  std::vector<std::string> with_instructions;
+  std::string baseline_file;
+  std::string output_file;
   bool dump = false;
   std::vector<std::string> known;
   for (const Workload& workload : workloads()) known.push_back(workload.name);
-  app.add_option("--play", names, "workloads to run (default: all)")->check(CLI::IsMember(known));
-  app.add_option("--compare", compared,
+  app.add_option("--play", selected, "workloads to run (default: all)")->check(CLI::IsMember(known));
+  app.add_option("--compare", baseline_file,
                  "a file of baseline counts: fails if a count rose by more than a tenth");
-  app.add_option("--write", written, "writes the counts to a file, as a new baseline");
+  app.add_option("--write", output_file, "writes the counts to a file, as a new baseline");
   app.add_option("--instructions-of", with_instructions,
                  "also count the instructions of these workloads, with callgrind (slow)")
       ->check(CLI::IsMember(known));
@@ -277,7 +286,7 @@
     std::map<std::string, double> counts;
     std::size_t failed = 0;
     for (const Workload& workload : workloads()) {
-      if (!names.empty() && std::ranges::find(names, workload.name) == names.end()) continue;
+      if (!selected.empty() && std::ranges::find(selected, workload.name) == selected.end()) continue;
       WorkloadCost cost = rig::measure_cost(workload, probe);
       if (dump) return kSuccess;
       if (std::ranges::find(with_instructions, workload.name) != with_instructions.end())
@@ -288,14 +297,14 @@
       if (cost.failed > 0) fmt::print("{} requests of {} were not answered\n", cost.failed, workload.name);
       failed += cost.failed;
     }
-    if (!written.empty()) {
-      std::ofstream out(written);
+    if (!output_file.empty()) {
+      std::ofstream out(output_file);
       out << "# Cost of a request at the router, written by cressrill-cost --write. "
              "A commit that changes a count states the reason.\n";
       for (const auto& [name, value] : counts) out << fmt::format("{} {:.2f}\n", name, value);
     }
     if (failed > 0) return kFailure;
-    return compared.empty() ? kSuccess : compare(counts, compared);
+    return baseline_file.empty() ? kSuccess : compare(counts, baseline_file);
   };
   // The router's log lines belong to its work, so they are written, but to /dev/null. Errors of this program
   // still go to the original standard error.
--- a/rig/cost.cpp
+++ b/rig/cost.cpp
@@ -12,7 +12,7 @@
 
 namespace cressrill::rig {
 
-Heap heap;
+MemoryCounters memory_counters;
 
 const char* to_string(Stage stage) {
   static constexpr const char* names[] = {"accept", "request", "read",  "first", "event",
@@ -20,51 +20,56 @@
   return names[static_cast<std::size_t>(stage)];
 }
 
-Cost& Cost::operator+=(const Cost& other) {
+ResourceUsage& ResourceUsage::operator+=(const ResourceUsage& other) {
   allocations += other.allocations;
-  bytes += other.bytes;
+  heap_bytes += other.heap_bytes;
   copied += other.copied;
   calls += other.calls;
   for (std::size_t i = 0; i < calls_by_name.size(); ++i) calls_by_name[i] += other.calls_by_name[i];
   instructions += other.instructions;
   return *this;
 }
-Cost Cost::operator-(const Cost& other) const {
-  Cost out = other / -1;
-  return out += *this;
+ResourceUsage ResourceUsage::operator-(const ResourceUsage& other) const {
+  ResourceUsage difference = other / -1;
+  return difference += *this;
 }
-Cost Cost::operator/(double n) const {
-  Cost out = *this;
-  out.allocations /= n;
-  out.bytes /= n;
-  out.copied /= n;
-  out.calls /= n;
-  out.instructions /= n;
-  for (double& count : out.calls_by_name) count /= n;
-  return out;
+ResourceUsage ResourceUsage::operator/(double divisor) const {
+  ResourceUsage quotient = *this;
+  quotient.allocations /= divisor;
+  quotient.heap_bytes /= divisor;
+  quotient.copied /= divisor;
+  quotient.calls /= divisor;
+  quotient.instructions /= divisor;
+  for (double& count : quotient.calls_by_name) count /= divisor;
+  return quotient;
 }
 
 namespace {
 
-Cost current_cost(const io::Loop& loop) {
-  Cost out;
-  out.allocations = static_cast<double>(heap.allocations);
-  out.bytes = static_cast<double>(heap.bytes);
-  out.copied = static_cast<double>(heap.copied);
+ResourceUsage current_usage(const io::Loop& loop) {
+  ResourceUsage usage;
+  usage.allocations = static_cast<double>(memory_counters.allocations);
+  usage.heap_bytes = static_cast<double>(memory_counters.heap_bytes);
+  usage.copied = static_cast<double>(memory_counters.copied);
   for (std::size_t i = 0; i < io::kSystemCallCount; ++i) {
-    out.calls_by_name[i] = static_cast<double>(loop.system_calls().counts()[i]);
-    out.calls += out.calls_by_name[i];
+    usage.calls_by_name[i] = static_cast<double>(loop.system_calls().counts()[i]);
+    usage.calls += usage.calls_by_name[i];
   }
-  return out;
+  return usage;
 }
 
-// The inputs that the policy got in one turn of the router, and their cost. The policy's actions are the
-// host's work: their cost is subtracted.
+// The inputs that the policy got in one turn of the router, and what the policy used to handle them. The
+// policy's actions are the host's work: their usage is subtracted.
 struct PolicyInputs {
-  bool request_arrived{}, prefill_done{}, attempt_failed{}, stream_started{}, request_ended{};
-  Cost decide_cost;
+  bool request_arrived{};
+  bool prefill_done{};
+  bool attempt_failed{};
+  bool stream_started{};
+  bool request_ended{};
+  ResourceUsage policy_usage;
 };
 
+// Passes inputs to the router's policy and actions to its host, and counts what the policy uses.
 class CountedPolicy final : public Policy, private Actions {
  public:
   CountedPolicy(const io::Loop& loop, const PolicySettings& settings, std::uint64_t seed, Nanos now,
@@ -82,7 +87,7 @@
                        std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
                        double max_output_tokens, Nanos deadline) override {
     inputs_.request_arrived = true;
-    add_policy_cost([&] {
+    add_policy_usage([&] {
       policy_->request_arrived(now, request, type, tenant, session, prefix_hash, prompt_tokens, prefix_tokens,
                                max_output_tokens, deadline);
     });
@@ -90,55 +95,55 @@
   void client_left(Nanos now, int request) override { policy_->client_left(now, request); }
   void stream_started(Nanos now, int request, int attempt, Nanos elapsed) override {
     inputs_.stream_started = true;
-    add_policy_cost([&] { policy_->stream_started(now, request, attempt, elapsed); });
+    add_policy_usage([&] { policy_->stream_started(now, request, attempt, elapsed); });
   }
   void attempt_ended(Nanos now, int request, int attempt, Outcome outcome, Nanos elapsed, bool closed,
                      double cached_tokens, const LoadReport& report) override {
     (outcome == Outcome::prefill_done ? inputs_.prefill_done
      : outcome == Outcome::generated  ? inputs_.request_ended
                                       : inputs_.attempt_failed) = true;
-    add_policy_cost([&] {
+    add_policy_usage([&] {
       policy_->attempt_ended(now, request, attempt, outcome, elapsed, closed, cached_tokens, report);
     });
   }
   void on_wakeup(Nanos now) override {
-    add_policy_cost([&] { policy_->on_wakeup(now); });
+    add_policy_usage([&] { policy_->on_wakeup(now); });
   }
 
  private:
-  void add_policy_cost(const std::function<void()>& call) { inputs_.decide_cost += cost_of(call); }
-  // An action within a timed call: the cost of the host is subtracted.
-  void subtract_host_cost(const std::function<void()>& action) {
-    inputs_.decide_cost += cost_of(action) / -1;
+  void add_policy_usage(const std::function<void()>& call) { inputs_.policy_usage += usage_of(call); }
+  // For an action that the policy takes during a measured input.
+  void subtract_host_usage(const std::function<void()>& action) {
+    inputs_.policy_usage += usage_of(action) / -1;
   }
-  // Counting is off while the counts themselves are read.
-  Cost cost_of(const std::function<void()>& call) const {
-    const bool was_on = std::exchange(heap.on, false);
-    const Cost before = current_cost(loop_);
-    heap.on = was_on;
+  // Counting is disabled while the counts themselves are read.
+  ResourceUsage usage_of(const std::function<void()>& call) const {
+    const bool was_enabled = std::exchange(memory_counters.enabled, false);
+    const ResourceUsage before = current_usage(loop_);
+    memory_counters.enabled = was_enabled;
     call();
-    heap.on = false;
-    const Cost cost = current_cost(loop_) - before;
-    heap.on = was_on;
-    return cost;
+    memory_counters.enabled = false;
+    const ResourceUsage usage = current_usage(loop_) - before;
+    memory_counters.enabled = was_enabled;
+    return usage;
   }
   void send(int request, int worker, AttemptLimits limits) override {
-    subtract_host_cost([&] { actions_.send(request, worker, limits); });
+    subtract_host_usage([&] { actions_.send(request, worker, limits); });
   }
   void release(int request) override {
-    subtract_host_cost([&] { actions_.release(request); });
+    subtract_host_usage([&] { actions_.release(request); });
   }
   void cancel(int request, int attempt) override {
-    subtract_host_cost([&] { actions_.cancel(request, attempt); });
+    subtract_host_usage([&] { actions_.cancel(request, attempt); });
   }
   void reject(int request, Nanos after) override { actions_.reject(request, after); }
   void abort(int request) override { actions_.abort(request); }
   void subscribe() override { actions_.subscribe(); }
   void request_wakeup(Nanos after) override {
-    subtract_host_cost([&] { actions_.request_wakeup(after); });
+    subtract_host_usage([&] { actions_.request_wakeup(after); });
   }
   void forget_request(int request) override {
-    subtract_host_cost([&] { actions_.forget_request(request); });
+    subtract_host_usage([&] { actions_.forget_request(request); });
   }
   void forget_worker(int worker) override { actions_.forget_worker(worker); }
 
@@ -187,7 +192,8 @@
       engine.address = "127.0.0.1:0";
       engine.zone = "a";
       engine.cell = "c";
-      engine.slots = engine.queue = 100'000;
+      engine.slots = 100'000;
+      engine.queue = 100'000;
       engine.memory_tokens = 1e9;
       engine.read_per_s = 1e7;
       engine.step_ms = static_cast<double>(workload.event_interval) / 1e6;
@@ -205,35 +211,36 @@
         });
     run_for(50 * io::kMs);
   }
+
   ~CostMeasurement() {
     clients_.cancel();
     router_.reset();
   }
 
   WorkloadCost run() {
-    for (int i = 0; i < workload_.idle_streams; ++i) ask(1'000'000, true);
-    if (workload_.idle_streams > 0) step_idle();
-    ask_all(4);
+    for (int i = 0; i < workload_.idle_streams; ++i) start_request(1'000'000, true);
+    if (workload_.idle_streams > 0) pause_idle_streams();
+    run_rounds(4);
     counting_ = true;
     result_ = {};
-    ask_all(workload_.rounds);
+    run_rounds(workload_.rounds);
     counting_ = false;
-    parse(workload_.rounds * workload_.concurrency);
-    const double n = workload_.rounds * workload_.concurrency;
-    for (std::size_t s = 0; s < kStages; ++s) {
-      if (static_cast<Stage>(s) < Stage::parse) result_.all += result_.stages[s];
-      result_.stages[s] = result_.stages[s] / n;
+    measure_parsing(workload_.rounds * workload_.concurrency);
+    const double requests = workload_.rounds * workload_.concurrency;
+    for (std::size_t stage = 0; stage < kStageCount; ++stage) {
+      if (static_cast<Stage>(stage) < Stage::parse) result_.all += result_.stages[stage];
+      result_.stages[stage] = result_.stages[stage] / requests;
     }
-    result_.all = result_.all / n;
+    result_.all = result_.all / requests;
     result_.events = workload_.events;
     return result_;
   }
 
  private:
-  // Leaves the idle streams open: they have started, and their decode engines are slowed down until they send
-  // nothing.
-  void step_idle() {
-    run_until([&] { return streams_started_ == workload_.idle_streams; });
+  // Once the idle streams have started, slows their decode engines down so far that no further event comes,
+  // and replaces these engines in the worker list.
+  void pause_idle_streams() {
+    run_until([&] { return idle_streams_started_ == workload_.idle_streams; });
     for (std::size_t i = engines_.size() - 4; i < engines_.size(); ++i) {
       const bool idle = i < engines_.size() - 2;
       if (idle) engines_[i]->apply({"slow", 1e9, 0, ""});
@@ -242,36 +249,38 @@
     run_for(100 * io::kMs);
   }
 
-  void ask_all(int rounds) {
+  // Runs rounds of concurrent requests; each round ends when all of them are answered.
+  void run_rounds(int rounds) {
     for (int round = 0; round < rounds; ++round) {
       prefills_to_fail_ = workload_.failures;
-      for (auto& e : engines_)
-        if (prefills_to_fail_ > 0 && e->config().role == Role::prefill) e->apply({"fast_errors", 1, 0, ""});
+      for (auto& engine : engines_)
+        if (prefills_to_fail_ > 0 && engine->config().role == Role::prefill)
+          engine->apply({"fast_errors", 1, 0, ""});
       requests_answered_ = 0;
-      for (int i = 0; i < workload_.concurrency; ++i) ask(workload_.events, false);
+      for (int i = 0; i < workload_.concurrency; ++i) start_request(workload_.events, false);
       run_until([&] { return requests_answered_ == workload_.concurrency; });
       run_for(200 * io::kMs);
     }
   }
 
-  // Repeats the parsing of the request's body by itself.
-  void parse(int times) {
+  // Measures the parsing of the request's body by itself.
+  void measure_parsing(int times) {
     for (int i = 0; i < times; ++i) {
       std::string body = body_;
       body.reserve(body.size() + http::kReadPaddingBytes);
-      const Cost before = current_cost(router_loop_);
-      heap.on = true;
+      const ResourceUsage before = current_usage(router_loop_);
+      memory_counters.enabled = true;
       if (probe_.on_turn_begin) probe_.on_turn_begin();
       const auto parsed = core::parse_request(core::Api::chat, std::move(body), {});
       if (probe_.on_turn_end) probe_.on_turn_end();
-      heap.on = false;
+      memory_counters.enabled = false;
       if (probe_.on_turn_stage) probe_.on_turn_stage(Stage::parse);
-      result_.stages[static_cast<std::size_t>(Stage::parse)] += current_cost(router_loop_) - before;
+      result_.stages[static_cast<std::size_t>(Stage::parse)] += current_usage(router_loop_) - before;
       if (!std::holds_alternative<core::ParsedRequest>(parsed)) ++result_.failed;
     }
   }
 
-  void ask(int events, bool idle) {
+  void start_request(int events, bool idle) {
     ClientRequest request;
     request.sequence = fmt::format("q{}", ++requests_sent_);
     request.id = request.sequence + ".0";
@@ -280,20 +289,20 @@
     request.address = router_->address();
     request.time_limit = 500 * io::kSecond;
     request.stream = workload_.stream || idle;
-    std::string text;
-    while (text.size() < workload_.prompt_bytes) text += "word ";
+    std::string prompt;
+    while (prompt.size() < workload_.prompt_bytes) prompt += "word ";
     request.body =
         nlohmann::json{
             {"model", "m"},
             {"messages",
-             {{{"role", "system"}, {"content", "Be brief."}}, {{"role", "user"}, {"content", text}}}},
+             {{{"role", "system"}, {"content", "Be brief."}}, {{"role", "user"}, {"content", prompt}}}},
             {"prompt_cache_key", request.sequence},
             {"max_tokens", 2'000'000},
             {"metadata", {{"out", std::to_string(events)}}},
             {"stream", request.stream}}
             .dump();
     if (!idle) body_ = request.body;
-    if (idle) request.on_first = [this] { ++streams_started_; };
+    if (idle) request.on_first = [this] { ++idle_streams_started_; };
     clients_.spawn([](CostMeasurement& measurement, ClientRequest to_send, bool is_idle) -> io::Task<> {
       const ClientResult result =
           co_await rig::send_request(measurement.client_loop_, measurement.no_record_, std::move(to_send));
@@ -311,11 +320,13 @@
     run_until([&] { return client_loop_.now() >= until; }, until);
   }
 
+  // Runs both event loops in turn until the condition is met, and advances their simulated time, at most to
+  // `latest`, while both are idle.
   void run_until(const std::function<bool()>& done, io::Nanos latest = io::Loop::kNoTimer) {
     while (!done()) {
       const bool clients_ran = client_loop_.run_once();
       const bool due = workload_.turn_interval == 0 || !counting_ || client_loop_.now() >= next_turn_;
-      const bool router_ran = due && turn();
+      const bool router_ran = due && run_router_turn();
       if (clients_ran || router_ran) continue;
       io::Nanos next =
           std::min(client_loop_.next_timer_at(), due ? router_loop_.next_timer_at() : next_turn_);
@@ -328,44 +339,46 @@
     }
   }
 
-  // Runs the router until it has nothing left to do. The last epoll_wait, which finds nothing, stands for its
-  // blocking wait. Returns whether the router did anything.
-  bool turn() {
+  // Runs the router until it has nothing left to do: on real time it would then block in epoll_wait. Returns
+  // whether the router did anything.
+  bool run_router_turn() {
     inputs_ = {};
-    const Cost before = current_cost(router_loop_);
+    const ResourceUsage before = current_usage(router_loop_);
     bool ran = false;
-    heap.on = counting_;
+    memory_counters.enabled = counting_;
     if (probe_.on_turn_begin && counting_) probe_.on_turn_begin();
     while (router_loop_.run_once()) ran = true;
     if (probe_.on_turn_end && counting_) probe_.on_turn_end();
-    heap.on = false;
-    Cost cost = current_cost(router_loop_) - before;
+    memory_counters.enabled = false;
+    ResourceUsage usage = current_usage(router_loop_) - before;
     next_turn_ = client_loop_.now() + workload_.turn_interval;
-    if (!ran) {  // a router that blocks in epoll_wait would not have run here
+    if (!ran) {  // on real time the router would still be blocked in epoll_wait
       if (probe_.on_turn_stage && counting_) probe_.on_turn_stage(std::nullopt);
       return false;
     }
-    // The epoll_wait that finds nothing is the one that the next turn begins with: it is counted there.
-    --cost.calls_by_name[static_cast<std::size_t>(io::SystemCall::epoll_wait)];
-    --cost.calls;
-    const Stage stage = stage_of(cost);
+    // On real time, the last epoll_wait, which finds nothing here, would return at the next turn: it is
+    // counted there.
+    --usage.calls_by_name[static_cast<std::size_t>(io::SystemCall::epoll_wait)];
+    --usage.calls;
+    const Stage stage = stage_of(usage);
     if (probe_.on_turn_stage && counting_) probe_.on_turn_stage(stage);
     if (counting_) {
-      result_.stages[static_cast<std::size_t>(stage)] += cost;
-      result_.stages[static_cast<std::size_t>(Stage::decide)] += inputs_.decide_cost;
+      result_.stages[static_cast<std::size_t>(stage)] += usage;
+      result_.stages[static_cast<std::size_t>(Stage::decide)] += inputs_.policy_usage;
     }
     if (inputs_.attempt_failed && prefills_to_fail_ > 0 && --prefills_to_fail_ == 0)
-      for (auto& e : engines_) e->apply({"fast_errors", 0, 0, ""});
+      for (auto& engine : engines_) engine->apply({"fast_errors", 0, 0, ""});
     return true;
   }
 
-  Stage stage_of(const Cost& cost) const {
+  // The stage of the turn that has just ended and used this.
+  Stage stage_of(const ResourceUsage& usage) const {
     if (inputs_.request_arrived) return Stage::request;
     if (inputs_.request_ended) return Stage::end;
     if (inputs_.prefill_done || inputs_.attempt_failed) return Stage::read;
     if (inputs_.stream_started) return Stage::first;
     const auto called = [&](io::SystemCall call) {
-      return cost.calls_by_name[static_cast<std::size_t>(call)] > 0;
+      return usage.calls_by_name[static_cast<std::size_t>(call)] > 0;
     };
     if (called(io::SystemCall::accept4)) return Stage::accept;
     return called(io::SystemCall::send) ? Stage::event : Stage::rest;
@@ -384,10 +397,13 @@
   io::Scope clients_;
   PolicyInputs inputs_;
   WorkloadCost result_;
-  std::string body_;  // of the last measured request
-  io::Nanos next_turn_{};
-  bool counting_{};
-  int requests_sent_{}, requests_answered_{}, streams_started_{}, prefills_to_fail_{};
+  std::string body_;       // of the last measured request
+  io::Nanos next_turn_{};  // earliest time of the router's next turn
+  bool counting_{};        // false during the warm-up
+  int requests_sent_{};
+  int requests_answered_{};  // in this round
+  int idle_streams_started_{};
+  int prefills_to_fail_{};  // left in this round
 };
 
 }  // namespace
