--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -13,50 +13,53 @@
 
 namespace {
 
-constexpr std::string_view kJson = "content-type: application/json\r\n";
+constexpr std::string_view kJsonField = "content-type: application/json\r\n";
 
-std::uint64_t mix(std::uint64_t h, std::uint64_t v) {
-  h = (h ^ v) * 0x9e3779b97f4a7c15u;
-  return h ^ h >> 29;
+std::uint64_t mix_hash(std::uint64_t hash, std::uint64_t value) {
+  hash = (hash ^ value) * 0x9e3779b97f4a7c15u;
+  return hash ^ hash >> 29;
 }
 
 io::Nanos nanos(double ms) { return static_cast<io::Nanos>(ms * 1e6); }
 
 // The prompt of a request as one string; messages are prefixed with their roles.
 std::string prompt_text(const json& body) {
-  std::string out;
+  std::string text;
   if (body.contains("prompt")) {
     const json& prompt = body["prompt"];
     if (prompt.is_string()) return prompt.get<std::string>();
     for (const json& item : prompt)
-      out += item.is_number() ? std::to_string(item.get<long long>()) + " " : item.get<std::string>();
-    return out;
+      text += item.is_number() ? std::to_string(item.get<long long>()) + " " : item.get<std::string>();
+    return text;
   }
-  for (const json& m : body.value("messages", json::array())) {
-    out += m.value("role", "") + ": ";
-    if (m.contains("content") && m["content"].is_string()) out += m["content"].get<std::string>();
-    if (m.contains("content") && m["content"].is_array())
-      for (const json& part : m["content"]) out += part.value("text", "");
-    out += "\n";
+  for (const json& message : body.value("messages", json::array())) {
+    text += message.value("role", "") + ": ";
+    if (message.contains("content") && message["content"].is_string())
+      text += message["content"].get<std::string>();
+    if (message.contains("content") && message["content"].is_array())
+      for (const json& part : message["content"]) text += part.value("text", "");
+    text += "\n";
   }
-  return out;
+  return text;
 }
 
 }  // namespace
 
 Tokens tokenize(std::string_view text) {
-  Tokens out;
-  std::uint64_t chain = 1;
-  std::size_t at = 0;
-  while (at < text.size()) {
-    const std::size_t from = at;
-    while (at < text.size() && at - from < 5 && std::isalnum(static_cast<unsigned char>(text[at]))) ++at;
-    if (at == from) ++at;
-    if (text[from] == ' ') continue;
-    for (std::size_t i = from; i < at; ++i) chain = mix(chain, static_cast<unsigned char>(text[i]));
-    if (++out.count % kTokensPerBlock == 0) out.blocks.push_back(chain);
+  Tokens tokens;
+  std::uint64_t hash = 1;
+  std::size_t position = 0;
+  while (position < text.size()) {
+    const std::size_t start = position;
+    while (position < text.size() && position - start < 5 &&
+           std::isalnum(static_cast<unsigned char>(text[position])))
+      ++position;
+    if (position == start) ++position;
+    if (text[start] == ' ') continue;
+    for (std::size_t i = start; i < position; ++i) hash = mix_hash(hash, static_cast<unsigned char>(text[i]));
+    if (++tokens.count % kTokensPerBlock == 0) tokens.blocks.push_back(hash);
   }
-  return out;
+  return tokens;
 }
 
 Engine::Engine(io::Loop& loop, EngineConfig config, Recorder& record)
@@ -83,21 +86,24 @@
 
 void Engine::start() {
   server_ = std::make_unique<http::Server>(
-      loop_, address_, [this](http::Request& rq, http::ResponseWriter& a) { return serve(rq, a); },
+      loop_, address_,
+      [this](http::Request& request, http::ResponseWriter& response) { return serve(request, response); },
       http::MessageLimits{64 * 1024, 16 * 1024 * 1024});
   address_ = server_->address();
   config_.address = address_.to_string();
   slowdown_ = 1;
-  error_share_ = throttle_share_ = cut_share_ = 0;
+  error_share_ = 0;
+  throttle_share_ = 0;
+  cut_share_ = 0;
   silent_ = false;
   work_.spawn(run_prefills());
   work_.spawn(run_decode_steps());
   record_.record("up", {{"engine", config_.name}});
 }
 
-void Engine::stop(const char* why) {
+void Engine::stop(const char* reason) {
   if (!server_) return;
-  record_.record("down", {{"engine", config_.name}, {"why", why}});
+  record_.record("down", {{"engine", config_.name}, {"why", reason}});
   server_->kill();
   server_.reset();
   work_.cancel();
@@ -105,20 +111,21 @@
   decode_queue_.clear();
   running_.clear();
   fetching_.clear();
-  for (const auto& [id, state] : kv_entries_) record_.record("lost", {{"engine", config_.name}, {"id", id}});
+  for (const auto& [id, entry] : kv_entries_) record_.record("lost", {{"engine", config_.name}, {"id", id}});
   kv_entries_.clear();
   cached_blocks_.clear();
   cache_order_.clear();
   seen_idempotency_keys_.clear();
   recent_work_.clear();
   peers_.clear();
-  kv_tokens_held_ = decode_tokens_ = 0;
+  kv_tokens_held_ = 0;
+  decode_tokens_ = 0;
   if (on_change_) on_change_(false);
 }
 
-io::Task<> Engine::run_after(io::Nanos span, std::function<void()> then) {
-  co_await loop_.sleep_for(span);
-  then();
+io::Task<> Engine::run_after(io::Nanos delay, std::function<void()> action) {
+  co_await loop_.sleep_for(delay);
+  action();
 }
 
 void Engine::apply(const Fault& fault) {
@@ -126,8 +133,8 @@
                            {"kind", fault.kind},
                            {"size", fault.size},
                            {"for_ms", fault.span / io::kMs}});
-  const auto ends = [&](std::function<void()> then) {
-    if (fault.span > 0) faults_.spawn(run_after(fault.span, std::move(then)));
+  const auto at_end = [&](std::function<void()> action) {
+    if (fault.span > 0) faults_.spawn(run_after(fault.span, std::move(action)));
   };
   const auto restart_cold = [this] {
     if (server_) return;
@@ -138,39 +145,39 @@
   };
   if (fault.kind == "crash") {
     stop("crash");
-    ends(restart_cold);
+    at_end(restart_cold);
   } else if (fault.kind == "vanish") {
     silent_ = true;
-    ends([this, restart_cold] {
+    at_end([this, restart_cold] {
       stop("vanish");
       restart_cold();
     });
   } else if (fault.kind == "slow") {
     slowdown_ = fault.size;
-    ends([this] { slowdown_ = 1; });
+    at_end([this] { slowdown_ = 1; });
   } else if (fault.kind == "ageing") {  // slows down in two steps, then crashes
     slowdown_ = std::max(1.5, fault.size / 2);
     faults_.spawn(run_after(fault.span / 2, [this, fault] { slowdown_ = fault.size; }));
-    ends([this, restart_cold] {
+    at_end([this, restart_cold] {
       stop("ageing");
       restart_cold();
     });
   } else if (fault.kind == "throttle") {
     throttle_share_ = fault.size;
     throttle_target_ = fault.to;
-    ends([this] { throttle_share_ = 0; });
+    at_end([this] { throttle_share_ = 0; });
   } else if (fault.kind == "flush") {
     cached_blocks_.clear();
     cache_order_.clear();
   } else if (fault.kind == "fast_errors") {
     error_share_ = fault.size;
-    ends([this] { error_share_ = 0; });
+    at_end([this] { error_share_ = 0; });
   } else if (fault.kind == "cut") {
     cut_share_ = fault.size;
-    ends([this] { cut_share_ = 0; });
+    at_end([this] { cut_share_ = 0; });
   } else if (fault.kind == "handshake_slow") {
     if (server_) server_->throttle_accept(nanos(fault.size));
-    ends([this] {
+    at_end([this] {
       if (server_) server_->throttle_accept(0);
     });
   } else {
@@ -185,34 +192,36 @@
 
 double Engine::ramped_capacity() const {
   if (!cold_) return 1;
-  const double at = std::min(1.0, static_cast<double>(loop_.now() - started_) / (config_.ramp_ms * 1e6));
-  return config_.cold_from + (1 - config_.cold_from) * at * at;
+  const double progress =
+      std::min(1.0, static_cast<double>(loop_.now() - started_) / (config_.ramp_ms * 1e6));
+  return config_.cold_from + (1 - config_.cold_from) * progress * progress;
 }
 
 double Engine::speed() const { return ramped_capacity() / slowdown_; }
 
 // Rule 4: a cold engine crashes when the work that arrives within fall_ms exceeds fall_multiple times its
-// present capacity. The largest request of the span is not counted, as a single one can exceed the budget by
-// itself.
+// present capacity. The largest request of that time is not counted, as it can exceed the limit by itself.
 bool Engine::overloads(double work_s) {
   if (!cold_ || loop_.now() - started_ >= nanos(config_.ramp_ms)) return false;
   recent_work_.emplace_back(loop_.now(), work_s);
   while (recent_work_.front().first < loop_.now() - nanos(config_.fall_ms)) recent_work_.pop_front();
-  double sum = 0, most = 0;
-  for (const auto& [at, work] : recent_work_) {
-    sum += work;
-    most = std::max(most, work);
+  double total_s = 0;
+  double largest_s = 0;
+  for (const auto& [arrived_at, request_s] : recent_work_) {
+    total_s += request_s;
+    largest_s = std::max(largest_s, request_s);
   }
-  return sum - most > config_.fall_multiple * ramped_capacity() * config_.fall_ms / 1000;
+  return total_s - largest_s > config_.fall_multiple * ramped_capacity() * config_.fall_ms / 1000;
 }
 
 std::string Engine::load_header() {
   if (load_header_.empty() || loop_.now() - load_header_made_at_ >= nanos(config_.report_ms)) {
-    const double held = config_.role == Role::prefill ? kv_tokens_held_ : decode_tokens_;
+    const double used_tokens = config_.role == Role::prefill ? kv_tokens_held_ : decode_tokens_;
     load_header_ = fmt::format(
         "endpoint-load-metrics: TEXT named_metrics.kv_cache_usage_perc={:.4f}, "
         "named_metrics.num_requests_running={}, named_metrics.num_requests_waiting={}\r\n",
-        std::min(1.0, held / config_.memory_tokens), running_.size() + fetching_.size() + kv_entries_.size(),
+        std::min(1.0, used_tokens / config_.memory_tokens),
+        running_.size() + fetching_.size() + kv_entries_.size(),
         prefill_queue_.size() + decode_queue_.size());
     load_header_made_at_ = loop_.now();
   }
@@ -229,11 +238,11 @@
   while (silent_) co_await silence_ended_.wait();
 }
 
-io::Task<> Engine::serve(http::Request& request, http::ResponseWriter& answer) {
+io::Task<> Engine::serve(http::Request& request, http::ResponseWriter& response) {
   co_await wait_while_silent();
   const std::string_view target = request.head.target;
   if (target == "/v1/chat/completions" || target == "/v1/completions") {
-    co_await serve_completion(request, answer, target == "/v1/chat/completions");
+    co_await serve_completion(request, response, target == "/v1/chat/completions");
     co_return;
   }
   const json body = json::parse(request.body, nullptr, false);
@@ -242,22 +251,23 @@
     for (const JobPtr& job : prefill_queue_)
       if (job->id == id) job->cancelled = true;
     release_kv(id, "freed");
-    co_await answer.respond(200, kJson, "{}");
+    co_await response.respond(200, kJsonField, "{}");
   } else if (target == "/v1/kv/fetch") {
-    co_await serve_kv_fetch(id, body.value("cell", ""), answer);
+    co_await serve_kv_fetch(id, body.value("cell", ""), response);
   } else {
-    co_await answer.respond(404, kJson, core::error_body(404, "Not served here.", "unknown_url"));
+    co_await response.respond(404, kJsonField, core::error_body(404, "Not served here.", "unknown_url"));
   }
 }
 
-io::Task<> Engine::refuse(http::ResponseWriter& answer, const Job& job, int status, const char* code) {
+io::Task<> Engine::respond_with_error(http::ResponseWriter& response, const Job& job, int status,
+                                      const char* code) {
   record_job("out", job, {{"how", code}});
-  const std::string fields =
-      std::string(kJson) + load_header() + (status == 503 && random() < 0.5 ? "retry-after: 1\r\n" : "");
-  co_await answer.respond(status, fields, core::error_body(status, code, code));
+  const std::string header_fields =
+      std::string(kJsonField) + load_header() + (status == 503 && random() < 0.5 ? "retry-after: 1\r\n" : "");
+  co_await response.respond(status, header_fields, core::error_body(status, code, code));
 }
 
-io::Task<> Engine::serve_completion(http::Request& request, http::ResponseWriter& answer, bool chat) {
+io::Task<> Engine::serve_completion(http::Request& request, http::ResponseWriter& response, bool chat) {
   const json body = json::parse(request.body, nullptr, false);
   auto job = std::make_shared<Job>(loop_);
   const auto field = [&](const char* name) { return std::string(request.head.field(name).value_or("")); };
@@ -279,23 +289,24 @@
               {"type", job->type},
               {"state", job->kv_id},
               {"mark", job->idempotency_key}});
-  if (!body.is_object()) co_return co_await refuse(answer, *job, 400, "invalid_json");
-  if (random() < error_share_) co_return co_await refuse(answer, *job, 500, "engine_failed");
+  if (!body.is_object()) co_return co_await respond_with_error(response, *job, 400, "invalid_json");
+  if (random() < error_share_) co_return co_await respond_with_error(response, *job, 500, "engine_failed");
   const bool applies =
       throttle_target_.empty() || throttle_target_ == job->type || throttle_target_ == job->tenant;
-  if (applies && random() < throttle_share_) co_return co_await refuse(answer, *job, 503, "full");
+  if (applies && random() < throttle_share_)
+    co_return co_await respond_with_error(response, *job, 503, "full");
   if (config_.role == (is_prefill ? Role::decode : Role::prefill))
-    co_return co_await refuse(answer, *job, 400, "wrong_role");
+    co_return co_await respond_with_error(response, *job, 400, "wrong_role");
   job->tokens = tokenize(prompt_text(body));
   // Load generators and tests set the length of the output in the request's metadata.
-  const json meta =
+  const json metadata =
       body.contains("metadata") && body["metadata"].is_object() ? body["metadata"] : json::object();
-  job->output_tokens = static_cast<std::size_t>(std::max(1, std::atoi(meta.value("out", "24").c_str())));
+  job->output_tokens = static_cast<std::size_t>(std::max(1, std::atoi(metadata.value("out", "24").c_str())));
   job->output_tokens = std::min(job->output_tokens, body.value("max_tokens", std::size_t{100'000}));
-  const double work = is_prefill
-                          ? static_cast<double>(job->tokens.count) / config_.read_per_s
-                          : static_cast<double>(job->output_tokens) * config_.step_ms / 1000 / config_.slots;
-  if (overloads(work)) {
+  const double work_s =
+      is_prefill ? static_cast<double>(job->tokens.count) / config_.read_per_s
+                 : static_cast<double>(job->output_tokens) * config_.step_ms / 1000 / config_.slots;
+  if (overloads(work_s)) {
     record_job("fell", *job);
     faults_.spawn(run_after(0, [this] { stop("fell"); }));
     co_return;
@@ -304,23 +315,23 @@
       prefill_queue_.size() + decode_queue_.size() + running_.size() + fetching_.size();
   if (in_progress >= static_cast<std::size_t>(config_.slots + config_.queue) ||
       (is_prefill && kv_tokens_held_ + static_cast<double>(job->tokens.count) > config_.memory_tokens))
-    co_return co_await refuse(answer, *job, 503, "full");
+    co_return co_await respond_with_error(response, *job, 503, "full");
   if (is_prefill)
-    co_await serve_prefill(std::move(job), answer, chat);
+    co_await serve_prefill(std::move(job), response, chat);
   else
-    co_await serve_decode(std::move(job), answer, chat);
+    co_await serve_decode(std::move(job), response, chat);
 }
 
 // Prefill.
 
 std::size_t Engine::cache_prefix(const Tokens& tokens) {
-  std::size_t kept = 0;
+  std::size_t hit_blocks = 0;
   bool contiguous = true;
   for (const std::uint64_t block : tokens.blocks) {
-    const auto it = cached_blocks_.find(block);
-    contiguous = contiguous && it != cached_blocks_.end();
-    kept += contiguous;
-    if (it != cached_blocks_.end()) cache_order_.erase(it->second);
+    const auto cached = cached_blocks_.find(block);
+    contiguous = contiguous && cached != cached_blocks_.end();
+    hit_blocks += contiguous;
+    if (cached != cached_blocks_.end()) cache_order_.erase(cached->second);
     cache_order_.push_front(block);
     cached_blocks_[block] = cache_order_.begin();
   }
@@ -329,7 +340,7 @@
     cached_blocks_.erase(cache_order_.back());
     cache_order_.pop_back();
   }
-  return kept * kTokensPerBlock;
+  return hit_blocks * kTokensPerBlock;
 }
 
 io::Task<> Engine::run_prefills() {
@@ -340,14 +351,14 @@
     if (!job->cancelled) {
       job->cached_tokens = std::min(cache_prefix(job->tokens), job->tokens.count - 1);
       const double uncached_tokens = static_cast<double>(job->tokens.count - job->cached_tokens);
-      // In pieces of at most 50 ms, so that a change of speed, or silence, takes effect during a long
-      // prefill.
-      for (double work = config_.read_overhead_ms / 1000 + uncached_tokens / config_.read_per_s;
-           work > 0 && !job->cancelled;) {
-        const double piece = std::min(work, 0.05);
-        co_await loop_.sleep_for(nanos(1000 * piece / speed()));
+      // Sleeps for at most 50 ms of work at a time, so that a change of speed or a "vanish" fault takes
+      // effect during a long prefill.
+      for (double remaining_s = config_.read_overhead_ms / 1000 + uncached_tokens / config_.read_per_s;
+           remaining_s > 0 && !job->cancelled;) {
+        const double step_s = std::min(remaining_s, 0.05);
+        co_await loop_.sleep_for(nanos(1000 * step_s / speed()));
         co_await wait_while_silent();
-        work -= piece;
+        remaining_s -= step_s;
       }
     }
     if (!prefill_queue_.empty() && prefill_queue_.front() == job) prefill_queue_.pop_front();
@@ -356,30 +367,31 @@
   }
 }
 
-io::Task<> Engine::cancel_on_client_close(http::ResponseWriter& answer, JobPtr job) {
-  co_await answer.wait_for_client_close();
+io::Task<> Engine::cancel_on_client_close(http::ResponseWriter& response, JobPtr job) {
+  co_await response.wait_for_client_close();
   job->cancelled = true;
   job->updated.notify();
 }
 
-io::Task<> Engine::serve_prefill(JobPtr job, http::ResponseWriter& answer, bool chat) {
+io::Task<> Engine::serve_prefill(JobPtr job, http::ResponseWriter& response, bool chat) {
   prefill_queue_.push_back(job);
   prefill_queued_.notify();
   {
     io::Scope watch(loop_);
-    watch.spawn(cancel_on_client_close(answer, job));
+    watch.spawn(cancel_on_client_close(response, job));
     while (!job->done && !job->cancelled) co_await job->updated.wait();
   }
   co_await wait_while_silent();
   if (job->cancelled) {
-    std::erase_if(prefill_queue_, [&](const JobPtr& j) { return j == job && j != prefill_queue_.front(); });
+    std::erase_if(prefill_queue_,
+                  [&](const JobPtr& queued) { return queued == job && queued != prefill_queue_.front(); });
     record_job("out", *job, {{"how", "dropped"}});
-    answer.abort();
+    response.abort();
     co_return;
   }
-  const double tokens = static_cast<double>(job->tokens.count);
-  kv_entries_[job->id] = {tokens, config_.cell, false, ++last_serial_};
-  kv_tokens_held_ += tokens;
+  const double kv_tokens = static_cast<double>(job->tokens.count);
+  kv_entries_[job->id] = {kv_tokens, config_.cell, false, ++last_serial_};
+  kv_tokens_held_ += kv_tokens;
   record_job("out", *job, {{"how", "read"}, {"kept", job->cached_tokens}, {"tokens", job->tokens.count}});
   record_job("held", *job);
   work_.spawn(expire_kv(job->id, last_serial_));
@@ -399,58 +411,59 @@
               {"remote_block_ids", json::array()},
               {"remote_host", config_.address.substr(0, config_.address.rfind(':'))},
               {"remote_port", address_.port}}}};
-  const std::string fields = std::string(kJson) + load_header();
-  if (!co_await answer.respond(200, fields, body.dump())) release_kv(job->id, "freed");
+  const std::string header_fields = std::string(kJsonField) + load_header();
+  if (!co_await response.respond(200, header_fields, body.dump())) release_kv(job->id, "freed");
 }
 
 io::Task<> Engine::expire_kv(std::string id, std::uint64_t serial) {
   co_await loop_.sleep_for(nanos(config_.state_expiry_ms));
-  const auto it = kv_entries_.find(id);
-  if (it != kv_entries_.end() && it->second.serial == serial && !it->second.transferring)
+  const auto entry = kv_entries_.find(id);
+  if (entry != kv_entries_.end() && entry->second.serial == serial && !entry->second.transferring)
     release_kv(id, "expired");
 }
 
-void Engine::release_kv(const std::string& id, const char* how) {
-  const auto it = kv_entries_.find(id);
-  if (it == kv_entries_.end() || (it->second.transferring && std::string_view(how) != "taken")) return;
-  kv_tokens_held_ -= it->second.tokens;
-  kv_entries_.erase(it);
-  record_.record(how, {{"engine", config_.name}, {"id", id}});
+void Engine::release_kv(const std::string& id, const char* event) {
+  const auto entry = kv_entries_.find(id);
+  if (entry == kv_entries_.end() || (entry->second.transferring && std::string_view(event) != "taken"))
+    return;
+  kv_tokens_held_ -= entry->second.tokens;
+  kv_entries_.erase(entry);
+  record_.record(event, {{"engine", config_.name}, {"id", id}});
 }
 
 io::Task<> Engine::serve_kv_fetch(const std::string& id, const std::string& cell,
-                                  http::ResponseWriter& answer) {
-  const auto it = kv_entries_.find(id);
-  if (it == kv_entries_.end() || it->second.transferring) {
-    co_await answer.respond(404, kJson, core::error_body(404, "No such state.", "kv_state_not_found"));
+                                  http::ResponseWriter& response) {
+  const auto entry = kv_entries_.find(id);
+  if (entry == kv_entries_.end() || entry->second.transferring) {
+    co_await response.respond(404, kJsonField, core::error_body(404, "No such state.", "kv_state_not_found"));
     co_return;
   }
-  it->second.transferring = true;
-  const double factor = cell == config_.cell ? 1 : config_.far_factor;
-  const io::Nanos transfer_time = nanos(1000 * factor * it->second.tokens / config_.transfer_per_s);
+  entry->second.transferring = true;
+  const double slowdown = cell == config_.cell ? 1 : config_.far_factor;
+  const io::Nanos transfer_time = nanos(1000 * slowdown * entry->second.tokens / config_.transfer_per_s);
   bool client_closed = false;
   {
-    io::Signal over(loop_);
-    io::Scope both(loop_);
-    both.spawn([](http::ResponseWriter& a, bool& g, io::Signal& s) -> io::Task<> {
-      co_await a.wait_for_client_close();
-      g = true;
-      s.notify();
-    }(answer, client_closed, over));
-    both.spawn([](io::Loop& l, io::Nanos span, io::Signal& s) -> io::Task<> {
-      co_await l.sleep_for(span);
-      s.notify();
-    }(loop_, transfer_time, over));
-    co_await over.wait();
+    io::Signal ended(loop_);
+    io::Scope waits(loop_);
+    waits.spawn([](http::ResponseWriter& writer, bool& closed, io::Signal& signal) -> io::Task<> {
+      co_await writer.wait_for_client_close();
+      closed = true;
+      signal.notify();
+    }(response, client_closed, ended));
+    waits.spawn([](io::Loop& loop, io::Nanos span, io::Signal& signal) -> io::Task<> {
+      co_await loop.sleep_for(span);
+      signal.notify();
+    }(loop_, transfer_time, ended));
+    co_await ended.wait();
   }
   co_await wait_while_silent();
   if (client_closed) {  // the decode engine closed the connection: the KV cache stays held
-    if (const auto again = kv_entries_.find(id); again != kv_entries_.end())
-      again->second.transferring = false;
+    if (const auto still_held = kv_entries_.find(id); still_held != kv_entries_.end())
+      still_held->second.transferring = false;
     co_return;
   }
   release_kv(id, "taken");
-  co_await answer.respond(200, kJson, "{}");
+  co_await response.respond(200, kJsonField, "{}");
 }
 
 // Decode.
@@ -462,12 +475,13 @@
       decode_queue_.pop_front();
       continue;
     }
-    const double need = static_cast<double>(job->tokens.count + job->generated);
+    const double needed_tokens = static_cast<double>(job->tokens.count + job->generated_tokens);
     if (running_.size() + fetching_.size() >= static_cast<std::size_t>(config_.slots)) return;
-    if (decode_tokens_ + need > config_.memory_tokens && !(running_.empty() && fetching_.empty())) return;
+    if (decode_tokens_ + needed_tokens > config_.memory_tokens && !(running_.empty() && fetching_.empty()))
+      return;
     decode_queue_.pop_front();
-    job->reserved_memory = need;
-    decode_tokens_ += need;
+    job->reserved_tokens = needed_tokens;
+    decode_tokens_ += needed_tokens;
     if (job->fetched || job->kv_id.empty()) {
       running_.push_back(job);
       decode_ready_.notify();
@@ -486,11 +500,12 @@
   if (pool) {
     const std::string body = json{{"request_id", job->kv_id}, {"cell", config_.cell}}.dump();
     // Bounds the wait for a prefill engine that has stopped answering.
-    const auto limit = loop_.now() + 3 * io::kSecond;
-    auto answered = co_await io::with_deadline(
-        loop_, limit,
-        http::exchange(pool, http::format_request("POST", "/v1/kv/fetch", job->kv_address, kJson, body)));
-    if (answered) result = std::move(*answered);
+    const auto deadline = loop_.now() + 3 * io::kSecond;
+    auto response = co_await io::with_deadline(
+        loop_, deadline,
+        http::exchange(pool,
+                       http::format_request("POST", "/v1/kv/fetch", job->kv_address, kJsonField, body)));
+    if (response) result = std::move(*response);
   }
   std::erase(fetching_, job);
   job->fetched = result.ok() && result.head.status == 200;
@@ -498,20 +513,20 @@
     running_.push_back(job);
     decode_ready_.notify();
   } else {
-    decode_tokens_ -= job->reserved_memory;
+    decode_tokens_ -= job->reserved_tokens;
     job->kv_missing = true;
     job->updated.notify();
     admit();
   }
 }
 
-// When memory runs out, the newest request goes back to the head of the queue; it keeps the tokens it has
-// generated.
+// While memory is exceeded, the request that was admitted last goes back to the head of the queue; it keeps
+// the tokens it has generated.
 void Engine::preempt() {
   while (decode_tokens_ > config_.memory_tokens && running_.size() > 1) {
     const JobPtr job = running_.back();
     running_.pop_back();
-    decode_tokens_ -= job->reserved_memory;
+    decode_tokens_ -= job->reserved_tokens;
     decode_queue_.push_front(job);
     record_job("preempted", *job);
   }
@@ -530,13 +545,13 @@
     const std::vector<JobPtr> batch = running_;
     for (const JobPtr& job : batch) {
       if (!job->cancelled) {
-        ++job->generated;
-        job->reserved_memory += 1;
+        ++job->generated_tokens;
+        job->reserved_tokens += 1;
         decode_tokens_ += 1;
       }
-      if (job->generated >= job->output_tokens || job->cancelled) {
+      if (job->generated_tokens >= job->output_tokens || job->cancelled) {
         job->done = true;
-        decode_tokens_ -= job->reserved_memory;
+        decode_tokens_ -= job->reserved_tokens;
         std::erase(running_, job);
       }
       job->updated.notify();
@@ -545,11 +560,11 @@
   }
 }
 
-io::Task<> Engine::serve_decode(JobPtr job, http::ResponseWriter& answer, bool chat) {
-  // Without KV cache to fetch, a mixed engine runs the prefill itself. That takes time, but no slot of the
-  // queue.
+io::Task<> Engine::serve_decode(JobPtr job, http::ResponseWriter& response, bool chat) {
+  // Without KV cache to fetch, a mixed engine runs the prefill itself, without a slot or a place in a queue.
   if (job->kv_id.empty()) {
-    if (config_.role == Role::decode) co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
+    if (config_.role == Role::decode)
+      co_return co_await respond_with_error(response, *job, 409, "kv_state_not_found");
     job->cached_tokens = std::min(cache_prefix(job->tokens), job->tokens.count - 1);
     co_await loop_.sleep_for(nanos(1000 * static_cast<double>(job->tokens.count - job->cached_tokens) /
                                    config_.read_per_s / speed()));
@@ -557,38 +572,38 @@
   decode_queue_.push_back(job);
   admit();
   io::Scope watch(loop_);
-  watch.spawn(cancel_on_client_close(answer, job));
-  while (job->generated == 0 && !job->cancelled && !job->kv_missing) co_await job->updated.wait();
+  watch.spawn(cancel_on_client_close(response, job));
+  while (job->generated_tokens == 0 && !job->cancelled && !job->kv_missing) co_await job->updated.wait();
   co_await wait_while_silent();
   if (job->kv_missing && !job->cancelled) {
     watch.cancel();
-    co_return co_await refuse(answer, *job, 409, "kv_state_not_found");
+    co_return co_await respond_with_error(response, *job, 409, "kv_state_not_found");
   }
   if (job->cancelled) {
     std::erase(decode_queue_, job);
-    // Tells whether a token was generated: the request's effect may have happened then.
-    record_job("out", *job, {{"how", "dropped"}, {"ran", job->generated > 0}});
-    answer.abort();
+    // Records whether a token was generated, as the request's effect may then have happened.
+    record_job("out", *job, {{"how", "dropped"}, {"ran", job->generated_tokens > 0}});
+    response.abort();
     co_return;
   }
-  bool repeat = false;
+  bool is_repeat = false;
   if (!job->idempotency_key.empty())
-    repeat = !seen_idempotency_keys_.try_emplace(job->idempotency_key, loop_.now()).second;
+    is_repeat = !seen_idempotency_keys_.try_emplace(job->idempotency_key, loop_.now()).second;
   record_job("ran", *job,
              {{"type", job->type},
               {"mark", job->idempotency_key},
-              {"repeat", repeat},
+              {"repeat", is_repeat},
               {"cell", config_.cell},
               {"zone", config_.zone}});
-  const std::string fields = "content-type: text/event-stream\r\n" + load_header();
-  co_await answer.begin_stream(200, fields);
-  const bool cut = random() < cut_share_;
+  const std::string header_fields = "content-type: text/event-stream\r\n" + load_header();
+  co_await response.begin_stream(200, header_fields);
+  const bool cut_stream = random() < cut_share_;
   std::size_t sent_tokens = 0;
-  while (sent_tokens < job->output_tokens && !job->cancelled && !answer.write_failed()) {
-    while (job->generated <= sent_tokens && !job->cancelled) co_await job->updated.wait();
+  while (sent_tokens < job->output_tokens && !job->cancelled && !response.write_failed()) {
+    while (job->generated_tokens <= sent_tokens && !job->cancelled) co_await job->updated.wait();
     co_await wait_while_silent();
-    std::string part;
-    for (; sent_tokens < job->generated && !job->cancelled; ++sent_tokens) {
+    std::string events;
+    for (; sent_tokens < job->generated_tokens && !job->cancelled; ++sent_tokens) {
       json chunk{{"id", job->id},
                  {"object", chat ? "chat.completion.chunk" : "text_completion"},
                  {"created", 1},
@@ -601,22 +616,22 @@
       else
         choice["text"] = text;
       chunk["choices"] = json::array({choice});
-      part += "data: " + chunk.dump() + "\n\n";
+      events += "data: " + chunk.dump() + "\n\n";
     }
-    if (cut && sent_tokens > job->output_tokens / 2) {
+    if (cut_stream && sent_tokens > job->output_tokens / 2) {
       record_job("out", *job, {{"how", "cut"}, {"told", sent_tokens}});
       job->cancelled = true;
-      co_await answer.write_chunk(std::string_view(part).substr(0, part.size() / 2));
-      answer.abort();
+      co_await response.write_chunk(std::string_view(events).substr(0, events.size() / 2));
+      response.abort();
       co_return;
     }
-    if (!part.empty()) co_await answer.write_chunk(part);
+    if (!events.empty()) co_await response.write_chunk(events);
   }
   watch.cancel();
-  if (job->cancelled || answer.write_failed()) {
+  if (job->cancelled || response.write_failed()) {
     job->cancelled = true;
     record_job("out", *job, {{"how", "left"}, {"told", sent_tokens}});
-    answer.abort();
+    response.abort();
     co_return;
   }
   record_job("out", *job, {{"how", "done"}, {"told", sent_tokens}, {"tokens", job->tokens.count}});
@@ -630,9 +645,9 @@
                      {"completion_tokens", sent_tokens},
                      {"total_tokens", job->tokens.count + sent_tokens},
                      {"prompt_tokens_details", {{"cached_tokens", job->cached_tokens}}}}}};
-  const std::string last = "data: " + usage.dump() + "\n\ndata: [DONE]\n\n";
-  co_await answer.write_chunk(last);
-  co_await answer.end_stream();
+  const std::string last_events = "data: " + usage.dump() + "\n\ndata: [DONE]\n\n";
+  co_await response.write_chunk(last_events);
+  co_await response.end_stream();
 }
 
 }  // namespace cressrill::rig
--- a/rig/record.h
+++ b/rig/record.h
@@ -1,5 +1,5 @@
-// Records what one end saw of the traffic: one JSON object a line, stamped with the machine's monotonic
-// clock.
+// Records of the traffic as clients, engines or discovery saw it: one JSON object a line, with the time of the
+// event loop, which is the machine's monotonic clock unless time is simulated.
 #pragma once
 
 #include <fstream>
@@ -10,6 +10,7 @@
 
 namespace cressrill::rig {
 
+// Writes records to a file, or keeps them in memory.
 class Recorder {
  public:
   // Appends to the file at `path`. With an empty path the records are kept in memory only.
@@ -18,14 +19,14 @@
     if (!in_memory_) file_.open(path, std::ios::app);
   }
   using Line = nlohmann::ordered_json;
-  // Adds the time ("t") and the event ("e") to the line, and flushes it to the file.
-  void record(const char* event, Line line) {
-    Line out{{"t", loop_.now()}, {"e", event}};
-    out.update(line);
+  // Records the fields with the time in ns ("t") and the event ("e") before them.
+  void record(const char* event, Line fields) {
+    Line line{{"t", loop_.now()}, {"e", event}};
+    line.update(fields);
     if (in_memory_)
-      lines_.push_back(std::move(out));
+      lines_.push_back(std::move(line));
     else
-      file_ << out.dump() << '\n' << std::flush;
+      file_ << line.dump() << '\n' << std::flush;
   }
   // The records in memory; empty if they go to a file.
   const std::vector<Line>& lines() const { return lines_; }
