--- a/rig/client.h
+++ b/rig/client.h
@@ -1,5 +1,5 @@
 // A client of the router, for scenarios, tests and measurements: sends one request, reads the response, and
-// records both.
+// records both. A retry of a request is another try with an id of its own.
 #pragma once
 
 #include <functional>
@@ -11,37 +11,40 @@
 namespace cressrill::rig {
 
 struct ClientRequest {
-  std::string id;        // of this try
-  std::string sequence;  // of the request: the same for all its tries
-  std::string router;    // name of the router it is sent to
-  io::Address address;   // address of that router
-  std::string type;
+  std::string id;               // of this try
+  std::string sequence;         // id of the request: the same for all its tries
+  std::string router;           // name of the router that it is sent to
+  io::Address address;          // address of that router
+  std::string type;             // traffic type, only recorded
   std::string api_key;          // bearer key of a tenant; empty: none
-  std::string idempotency_key;  // idempotency key; empty: none
+  std::string idempotency_key;  // empty: none
   std::string path = "/v1/chat/completions";
   std::string body;
   bool stream{true};
   io::Nanos time_limit{};          // time limit that is sent with the request
-  io::Nanos slo{};                 // only recorded
+  io::Nanos slo{};                 // latency SLO, only recorded
   std::function<void()> on_first;  // called at the first token; may be empty
-  io::Nanos
-      leave_after_first{};  // the client closes the connection this long after the first token; 0: never
+  // The client closes the connection this long after the first token; 0: never.
+  io::Nanos leave_after_first{};
 };
 
 struct ClientResult {
   // The outcome: generated, rejected, aborted, broken (an error event ended the stream), refused (4xx), cut
   // (the connection ended before the response did), unreached (no connection), silent (no response in time),
-  // left (the client closed the connection) or garbled (the response is malformed).
+  // left (the client closed the connection as it was told to, or after 60 s without data during a stream) or
+  // garbled (the response is malformed).
   std::string outcome;
   int status{};
-  io::Nanos time_to_first_token{};  // from the start of the request to the first token; 0: none came
-  io::Nanos elapsed{};
-  io::Nanos retry_after{};
-  std::size_t tokens{};
+  // From the start of the request to the first token, or to the end of a response without a stream; 0: no
+  // token came.
+  io::Nanos time_to_first_token{};
+  io::Nanos elapsed{};      // from the start of the request to its outcome
+  io::Nanos retry_after{};  // how long the response asks to wait before a retry; 0: not given
+  std::size_t tokens{};     // received
 };
 
 // Sends the request on a new connection and suspends until its response has ended or the client gives up.
 // Each outcome is recorded as one "final" or "unreached" event.
-io::Task<ClientResult> send_request(io::Loop& loop, Recorder& record, ClientRequest question);
+io::Task<ClientResult> send_request(io::Loop& loop, Recorder& record, ClientRequest request);
 
 }  // namespace cressrill::rig
--- a/rig/load_generator.h
+++ b/rig/load_generator.h
@@ -1,5 +1,5 @@
-// The load generator of a scenario: sessions start at random times, send one request a turn, and retry as
-// clients do. It is open-loop: new sessions start whether or not earlier requests are answered.
+// The load generator of a scenario: sessions start at random times, and send one request a turn and its
+// retries. It is open-loop: new sessions start whether or not earlier requests are answered.
 #pragma once
 
 #include <deque>
@@ -16,11 +16,11 @@
 
 class LoadGenerator {
  public:
-  // address_of: the address at which a router is reached.
+  // address_of returns the address at which a router is reached.
   LoadGenerator(io::Loop& loop, const Scenario& scenario, Recorder& record,
                 std::function<io::Address(std::size_t router)> address_of);
   // Starts sessions until the scenario's length has passed, then waits up to 20 s for the sessions that are
-  // left.
+  // still active.
   io::Task<> run();
   std::size_t attempts_sent() const { return attempts_sent_; }
 
@@ -48,10 +48,12 @@
     int turns{};
   };
   io::Task<> run_session(std::unique_ptr<Session> session);
-  // Sends a request and its retries. The answer, if one came, is added to the session's messages.
+  // Sends a request and its retries. The complete response, if one came, is added to the session's messages.
   io::Task<> run_turn(Session& session);
-  std::string words(int count, std::uint64_t seed) const;
-  std::string body(const Session& session, const Traffic& traffic, int output_tokens, bool stream) const;
+  // Random words of four letters; the same seed gives the same words.
+  std::string make_words(int count, std::uint64_t seed) const;
+  std::string request_body(const Session& session, const Traffic& traffic, int output_tokens,
+                           bool stream) const;
   std::size_t pick_router(const std::string& zone);
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(generator_); }
   double exponential(double mean) { return mean * std::exponential_distribution<double>(1)(generator_); }
@@ -63,8 +65,8 @@
   std::mt19937_64 generator_;
   std::map<std::size_t, io::Nanos> stopped_at_;     // by router
   std::map<std::string, std::size_t> next_router_;  // round robin, by zone
-  std::uint64_t sessions_{};
-  std::uint64_t requests_{};
+  std::uint64_t sessions_started_{};
+  std::uint64_t requests_started_{};
   std::size_t attempts_sent_{};
   std::size_t active_sessions_{};
   double rate_factor_{1};
