--- a/rig/baseline.h
+++ b/rig/baseline.h
@@ -1,5 +1,5 @@
-// Simple baselines that the project's own policy is compared with, for tests and measurements only. They keep
-// deadlines and do not repeat effects, and do nothing more.
+// Simple baseline policies that the router's own policy is compared with, for tests and measurements only.
+// They keep deadlines and do not repeat effects, and do nothing more.
 #pragma once
 
 #include <string>
--- a/rig/fleet_file.cpp
+++ b/rig/fleet_file.cpp
@@ -3,7 +3,7 @@
 namespace cressrill::rig {
 
 std::vector<EngineConfig> read_engines(core::TomlTable& root) {
-  std::vector<EngineConfig> out;
+  std::vector<EngineConfig> engines;
   for (core::TomlTable& table : root.tables("engine", true)) {
     EngineConfig engine;
     const std::string name = table.string("name");
@@ -34,10 +34,10 @@
     table.report_unknown_keys();
     for (int i = 0; i < count; ++i) {
       engine.name = count == 1 ? name : name + "-" + std::to_string(i);
-      out.push_back(engine);
+      engines.push_back(engine);
     }
   }
-  return out;
+  return engines;
 }
 
 core::ListedWorker listed(const Engine& engine, WorkerStatus status) {
--- a/rig/hold_rule.cpp
+++ b/rig/hold_rule.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-using What = KvAction::Kind;
+using ActionKind = KvAction::Kind;
 
-// Whether a release during the prefill freed what the prefill left.
-bool released_during_prefill(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& marks,
+// Whether a release that arrived during the prefill freed the KV cache that the prefill left.
+bool released_during_prefill(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& actions,
                              const KvAction& held) {
-  const auto release_arrived_since = [&](Nanos came) {
-    return std::ranges::any_of(marks, [&](const KvAction& mark) {
-      return mark.kind == What::released && mark.at >= came && mark.at < held.at;
+  const auto release_arrived_since = [&](Nanos attempt_arrived_at) {
+    return std::ranges::any_of(actions, [&](const KvAction& action) {
+      return action.kind == ActionKind::released && action.at >= attempt_arrived_at && action.at < held.at;
     });
   };
   return std::ranges::any_of(attempts, [&](const AttemptSpan& attempt) {
@@ -22,50 +22,53 @@
   });
 }
 
-// Whether a decode attempt waits for the KV cache: it is at its worker and has taken nothing yet.
-bool awaited_by_decode(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& marks,
-                       Nanos at) {
+// Whether a decode attempt waits for the KV cache at this time: it is at its worker and has not taken it yet.
+bool awaited_by_decode(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& actions,
+                       Nanos time) {
   const auto has_taken = [&](const AttemptSpan& attempt) {
-    return std::ranges::any_of(marks, [&](const KvAction& mark) {
-      return mark.kind == What::taken && mark.worker == attempt.worker && mark.at >= attempt.arrived_at &&
-             mark.at <= at;
+    return std::ranges::any_of(actions, [&](const KvAction& action) {
+      return action.kind == ActionKind::taken && action.worker == attempt.worker &&
+             action.at >= attempt.arrived_at && action.at <= time;
     });
   };
   return std::ranges::any_of(attempts, [&](const AttemptSpan& attempt) {
-    return !attempt.prefill && attempt.arrived_at <= at && attempt.ended_at >= at && !has_taken(attempt);
+    return !attempt.prefill && attempt.arrived_at <= time && attempt.ended_at >= time && !has_taken(attempt);
   });
 }
 
-Nanos freed_at(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& marks,
+// When the KV cache was taken or released, or `end`.
+Nanos freed_at(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& actions,
                const KvAction& held, Nanos end) {
-  for (const KvAction& mark : marks) {
-    if (mark.at <= held.at || mark.kind == What::held) continue;
-    if (mark.kind == What::taken || !awaited_by_decode(attempts, marks, mark.at)) return mark.at;
+  for (const KvAction& action : actions) {
+    if (action.at <= held.at || action.kind == ActionKind::held) continue;
+    if (action.kind == ActionKind::taken || !awaited_by_decode(attempts, actions, action.at))
+      return action.at;
   }
   return end;
 }
 
+// The longest part from `from` until `until` without an attempt at a worker.
 Nanos longest_unattended(const std::vector<AttemptSpan>& attempts, Nanos from, Nanos until) {
   Nanos longest = 0;
-  Nanos begins = from;  // start of the current part without an attempt
+  Nanos gap_start = from;  // of the current part without an attempt
   for (const AttemptSpan& attempt : attempts) {
-    if (attempt.ended_at <= begins) continue;
+    if (attempt.ended_at <= gap_start) continue;
     if (attempt.arrived_at >= until) break;
-    longest = std::max(longest, attempt.arrived_at - begins);
-    begins = std::min(attempt.ended_at, until);
+    longest = std::max(longest, attempt.arrived_at - gap_start);
+    gap_start = std::min(attempt.ended_at, until);
   }
-  return std::max(longest, until - begins);
+  return std::max(longest, until - gap_start);
 }
 
 }  // namespace
 
-std::vector<HeldSpan> held_spans(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& marks,
-                                 Nanos end) {
+std::vector<HeldSpan> held_spans(const std::vector<AttemptSpan>& attempts,
+                                 const std::vector<KvAction>& actions, Nanos end) {
   std::vector<HeldSpan> out;
-  for (const KvAction& mark : marks) {
-    if (mark.kind != What::held || released_during_prefill(attempts, marks, mark)) continue;
-    const Nanos until = freed_at(attempts, marks, mark, end);
-    out.push_back({mark.at, until, longest_unattended(attempts, mark.at, until)});
+  for (const KvAction& action : actions) {
+    if (action.kind != ActionKind::held || released_during_prefill(attempts, actions, action)) continue;
+    const Nanos until = freed_at(attempts, actions, action, end);
+    out.push_back({action.at, until, longest_unattended(attempts, action.at, until)});
   }
   return out;
 }
--- a/rig/hold_rule.h
+++ b/rig/hold_rule.h
@@ -1,6 +1,6 @@
-// The rule on held KV cache, in one place for all checks: what a prefill leaves at its worker is taken or
-// released within a limit. The limit counts only while no attempt of the request is at a running worker. The
-// rule is applied to what the workers saw.
+// The rule on held KV cache, for all checks: the KV cache that a prefill leaves at its worker is taken or
+// released within a limit. Only time without an attempt of the request at a running worker counts. The rule
+// is applied to what the workers saw.
 #pragma once
 
 #include <vector>
@@ -17,9 +17,10 @@
   bool prefill{};
 };
 
-// What a worker did with the KV cache of a request. A release may arrive at any worker, not only at the
-// holder.
+// What a worker did with the KV cache of a request.
 struct KvAction {
+  // held: a prefill left it; taken: a decode worker fetched it; released: a release arrived, at this or any
+  // other worker.
   enum class Kind { held, taken, released } kind{};
   Nanos at{};
   int worker{};
@@ -34,10 +35,10 @@
   Nanos unattended{};
 };
 
-// The spans of one request, until `end`. Attempts are in order of arrival, marks in order of `at`. A release
-// does not free KV cache that a decode attempt still waits for. A release that comes while a prefill is at
-// its worker also frees what that prefill leaves.
-std::vector<HeldSpan> held_spans(const std::vector<AttemptSpan>& attempts, const std::vector<KvAction>& marks,
-                                 Nanos end);
+// The spans of one request, until `end`. Attempts are in order of arrival, actions in order of `at`. A
+// release does not free KV cache that a decode attempt still waits for. A release that comes while a prefill
+// is at its worker also frees the KV cache that this prefill leaves.
+std::vector<HeldSpan> held_spans(const std::vector<AttemptSpan>& attempts,
+                                 const std::vector<KvAction>& actions, Nanos end);
 
 }  // namespace cressrill::rig
