--- a/rig/fault_shim.cpp
+++ b/rig/fault_shim.cpp
@@ -37,7 +37,7 @@
   return memory == MAP_FAILED ? &private_plan : static_cast<FaultPlan*>(memory);
 }
 
-// Whether this call has to fail; sets errno if so.
+// Whether this call has to fail; if so, sets errno.
 bool inject_failure(FaultyCall call) {
   CallFault& fault = cressrill_fault_plan()->of(call);
   const int error = fault.error;
@@ -49,13 +49,13 @@
   return true;
 }
 
-// How many of these bytes the transfer may move.
+// How many of these bytes the call may transfer.
 std::size_t transfer_limit(FaultyCall call, std::size_t bytes) {
   CallFault& fault = cressrill_fault_plan()->of(call);
-  const std::uint32_t most = fault.max_bytes;
-  if (most == 0 || bytes <= most) return bytes;
+  const std::uint32_t max_bytes = fault.max_bytes;
+  if (max_bytes == 0 || bytes <= max_bytes) return bytes;
   ++fault.injected;
-  return most;
+  return max_bytes;
 }
 
 }  // namespace
@@ -74,7 +74,7 @@
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
   static const auto real = real_function<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  // An interrupted connect continues in the background: see connect(2).
+  // An interrupted connect() continues in the background, so the real call is made too: see connect(2).
   if (!inject_failure(FaultyCall::connect)) return real(descriptor, address, size);
   if (errno != EINTR) return -1;
   real(descriptor, address, size);
@@ -104,14 +104,15 @@
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
   static const auto real = real_function<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
   if (inject_failure(FaultyCall::send)) return -1;
-  const std::size_t first = message->msg_iovlen > 0 ? message->msg_iov[0].iov_len : 0;
-  const std::size_t most = transfer_limit(FaultyCall::send, first);
-  if (most == first) return real(descriptor, message, flags);
-  iovec part{message->msg_iov[0].iov_base, most};
-  msghdr shorter = *message;
-  shorter.msg_iov = &part;
-  shorter.msg_iovlen = 1;
-  return real(descriptor, &shorter, flags);
+  // Only the first buffer is limited: if it is longer than the limit, its beginning is sent alone.
+  const std::size_t first_bytes = message->msg_iovlen > 0 ? message->msg_iov[0].iov_len : 0;
+  const std::size_t max_bytes = transfer_limit(FaultyCall::send, first_bytes);
+  if (max_bytes == first_bytes) return real(descriptor, message, flags);
+  iovec beginning{message->msg_iov[0].iov_base, max_bytes};
+  msghdr shortened = *message;
+  shortened.msg_iov = &beginning;
+  shortened.msg_iovlen = 1;
+  return real(descriptor, &shortened, flags);
 }
 
 int epoll_ctl(int epoll, int operation, int descriptor, epoll_event* event) noexcept {
@@ -120,9 +121,9 @@
   return real(epoll, operation, descriptor, event);
 }
 
-int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
+int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
   static const auto real = real_function<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  return inject_failure(FaultyCall::epoll_wait) ? -1 : real(epoll, events, most, timeout);
+  return inject_failure(FaultyCall::epoll_wait) ? -1 : real(epoll, events, max_events, timeout);
 }
 
 int getsockopt(int descriptor, int level, int option, void* value, socklen_t* size) noexcept {
