--- a/programs/baseline.cpp
+++ b/programs/baseline.cpp
@@ -1,4 +1,4 @@
-// cressrill-baseline: the router with a simple baseline policy in place of its own, for comparisons only.
+// cressrill-baseline: the router with a baseline policy in place of its own, for comparisons only.
 #include "rig/baseline.h"
 
 #include "serve.h"
@@ -8,7 +8,8 @@
 int main(int argc, char** argv) {
   CLI::App app{"A router with a baseline policy, for comparisons only; not for production.",
                "cressrill-baseline"};
-  std::string file, policy;
+  std::string file;
+  std::string policy;
   app.add_option("--config", file, "a router's TOML file")->required();
   app.add_option("--policy", policy, "random or fewest")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
--- a/programs/command_line.h
+++ b/programs/command_line.h
@@ -20,8 +20,8 @@
   app.set_version_flag("--version", app.get_name() + " " CRESSRILL_VERSION);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? kSuccess : kUsageError;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? kSuccess : kUsageError;
   }
   return std::nullopt;
 }
@@ -36,8 +36,8 @@
 inline int run_guarded(const char* program, const std::function<int()>& run) {
   try {
     return run();
-  } catch (const std::exception& e) {
-    std::cerr << program << ": " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << program << ": " << error.what() << '\n';
     return kFailure;
   }
 }
--- a/programs/day.cpp
+++ b/programs/day.cpp
@@ -11,21 +11,24 @@
   CLI::App app{"Runs a scenario on routers, engines and a discovery stand-in that it starts on loopback.",
                "cressrill-day"};
   app.require_subcommand(1);
-  std::string path, folder, policy, only;
-  int net = 0;
+  std::string path;
+  std::string folder;
+  std::string policy;
+  std::string only_fault;
+  int second_byte = 0;
   CLI::App* play = app.add_subcommand("play", "runs a scenario, records its traffic, and checks the rules");
-  play->add_option("DAY", path, "the day's TOML file")->required();
+  play->add_option("DAY", path, "TOML file of the scenario")->required();
   play->add_option("--record", folder, "an empty or new folder for the records")->required();
   play->add_option("--policy", policy, "a baseline in place of the router's own decisions: random, fewest")
       ->check(CLI::IsMember({"random", "fewest"}));
-  play->add_option("--only", only,
-                   "inject only this kind of trouble, of its default size, after a third of the scenario")
+  play->add_option("--only", only_fault,
+                   "inject only a fault of this kind, of its default size, after a third of the scenario")
       ->check(CLI::IsMember(rig::fault_kinds()));
-  play->add_option("--net", net,
+  play->add_option("--net", second_byte,
                    "second byte of the loopback addresses: scenarios with different ones can run at once")
       ->check(CLI::Range(0, 255));
   CLI::App* check = app.add_subcommand("check", "only reads the scenario and prints its errors");
-  check->add_option("DAY", path, "the day's TOML file")->required();
+  check->add_option("DAY", path, "TOML file of the scenario")->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   core::ConfigErrors errors;
   auto scenario = rig::read_scenario(path, errors);
@@ -35,7 +38,7 @@
     return kSuccess;
   }
   return run_guarded("cressrill-day", [&] {
-    if (!only.empty()) rig::keep_only_fault(*scenario, only);
+    if (!only_fault.empty()) rig::keep_only_fault(*scenario, only_fault);
     const std::string program_prefix =
         std::filesystem::read_symlink("/proc/self/exe").parent_path().string() + "/cressrill-";
     rig::Programs programs{{program_prefix + "router"}, program_prefix + "engine", program_prefix + "roster"};
@@ -44,7 +47,7 @@
               << scenario->engines.size() << " stand-in engines, " << scenario->faults.size() << " troubles, "
               << scenario->length / io::kSecond << " s\n"
               << std::flush;
-    const std::vector<std::string> failures = rig::run_scenario(*scenario, programs, folder, net);
+    const std::vector<std::string> failures = rig::run_scenario(*scenario, programs, folder, second_byte);
     const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), scenario->rule_settings);
     std::cout << verdict.text();
     for (const std::string& failure : failures) std::cout << "failed: " << failure << '\n';
--- a/rig/record.h
+++ b/rig/record.h
@@ -1,5 +1,5 @@
-// Records of the traffic as clients, engines or discovery saw it: one JSON object a line, with the time of the
-// event loop, which is the machine's monotonic clock unless time is simulated.
+// Records of the traffic as clients, engines or discovery saw it: one JSON object a line, with the time of
+// the event loop, which is the machine's monotonic clock unless time is simulated.
 #pragma once
 
 #include <fstream>
