--- a/programs/router.cpp
+++ b/programs/router.cpp
@@ -12,9 +12,9 @@
 int main(int argc, char** argv) {
   CLI::App app{"Routes requests for language models to prefill engines and decode engines.",
                "cressrill-router"};
-  std::string file;
+  std::string path;
   bool check = false;
-  auto* config_option = app.add_option("--config", file, "the router's TOML file");
+  auto* config_option = app.add_option("--config", path, "the router's TOML file");
   bool platform = false;
   std::string log_level = "warn";
   auto* platform_option = app.add_flag(
@@ -25,13 +25,13 @@
   app.add_flag("--check", check, "only read the file and print its errors");
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   if (platform) {
-    const char* path = std::getenv("EDGE_CONFIG");
-    if (path == nullptr || *path == '\0') {
+    const char* node_config_path = std::getenv("EDGE_CONFIG");
+    if (node_config_path == nullptr || *node_config_path == '\0') {
       std::cerr << "cressrill-router: EDGE_CONFIG names no file\n";
       return kUsageError;
     }
     return run_guarded("cressrill-router", [&] {
-      cressrill::platform::run_node(path, log_level);
+      cressrill::platform::run_node(node_config_path, log_level);
       return kSuccess;
     });
   }
@@ -40,19 +40,19 @@
     return kUsageError;
   }
   core::ConfigErrors errors;
-  const std::optional<core::RouterConfig> config = core::read_router_config(file, errors);
+  const std::optional<core::RouterConfig> config = core::read_router_config(path, errors);
   if (print_errors(errors)) return kUsageError;
   if (check) {
     if (std::ifstream list_file(config->last_list_path); !config->last_list_path.empty() && list_file) {
-      const std::string text((std::istreambuf_iterator<char>(list_file)), {});
+      const std::string last_list((std::istreambuf_iterator<char>(list_file)), {});
       try {
-        errors = core::check_worker_list(*config, core::parse_worker_list(text), config->last_list_path);
-      } catch (const std::invalid_argument& e) {
-        errors.push_back({config->last_list_path, 0, 0, e.what()});
+        errors = core::check_worker_list(*config, core::parse_worker_list(last_list), config->last_list_path);
+      } catch (const std::invalid_argument& error) {
+        errors.push_back({config->last_list_path, 0, 0, error.what()});
       }
       if (print_errors(errors)) return kUsageError;
     }
-    std::cout << file << ": nothing wrong\n";
+    std::cout << path << ": nothing wrong\n";
     return kSuccess;
   }
   return run_guarded("cressrill-router", [&] { return serve(*config, make_policy); });
--- a/programs/serve.h
+++ b/programs/serve.h
@@ -1,4 +1,4 @@
-// Runs a router until a stop signal; shared by the router and the baselines.
+// Runs a router until a stop signal; shared by cressrill-router and cressrill-baseline.
 #pragma once
 
 #include <random>
@@ -9,20 +9,21 @@
 
 namespace cressrill {
 
-// Waits for a stop signal, then for the requests in flight, at most for the shutdown timeout.
+// Waits for a stop signal, stops the instance, waits for its requests in flight, at most for the shutdown
+// timeout, and stops the event loop.
 inline io::Task<> shut_down_on_signal(io::Loop& loop, const core::RouterConfig& config, core::Log& log,
                                       router::Instance& instance) {
   io::StopSignal stop(loop);
   co_await stop.wait();
   log.info("stopping", {{"in_hand", instance.host().live_requests()}});
   instance.stop();
-  const io::Nanos until = loop.now() + config.shutdown_timeout;
-  while (!instance.is_idle() && loop.now() < until) co_await loop.sleep_for(5 * io::kMs);
+  const io::Nanos deadline = loop.now() + config.shutdown_timeout;
+  while (!instance.is_idle() && loop.now() < deadline) co_await loop.sleep_for(5 * io::kMs);
   log.info("stopped", {{"left", instance.host().live_requests()}});
   loop.stop();
 }
 
-// Returns the exit status. Throws if the router cannot start.
+// Serves until a stop signal and returns the exit status. Throws if the router cannot start.
 inline int serve(const core::RouterConfig& config, const router::PolicyFactory& policy_factory) {
   io::ignore_sigpipe();
   io::Loop loop;
--- a/programs/verdict.cpp
+++ b/programs/verdict.cpp
@@ -1,4 +1,4 @@
-// cressrill-verdict: checks the five rules on the records of a scenario alone.
+// cressrill-verdict: checks the five rules on the records that a run of cressrill-day left in a folder.
 #include "command_line.h"
 #include "rig/scenario_runner.h"
 
