--- a/benchmarks/decide.cpp
+++ b/benchmarks/decide.cpp
@@ -1,5 +1,5 @@
-// The cost of one input of the policy, by the numbers of live requests and workers. The policy runs alone,
-// without sockets, on a fleet that answers at a steady rate.
+// The cost of one input of the policy, by the number of live requests and of workers. The policy runs alone,
+// without sockets, on a simulated fleet that answers at a steady rate.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -12,11 +12,12 @@
 
 constexpr Nanos kMs = 1'000'000;
 
-// Keeps a number of requests streaming. In each turn one request arrives, its prefill ends, its stream
-// starts, and the oldest request ends: four inputs.
+// Gives the policy the inputs of a fleet. With turn(), a constant number of requests is streaming; with
+// queue() and queued_turn(), requests wait for prefill workers.
 class Fleet final : public Actions {
  public:
-  // slo_s: the latency SLO. A request that is queued for more than a share of it is rejected.
+  // slo_s: the latency SLO in seconds. A request that is queued for more than a share of it is rejected. With
+  // more than 2 s, no stream is started here.
   Fleet(int live, int workers, int slo_s = 2) : policy_(make_policy(make_settings(slo_s), 7, now_, *this)) {
     policy_->list_begins(now_, true);
     for (int worker = 0; worker < workers; ++worker)
@@ -24,17 +25,17 @@
                              worker % 2, 0, worker / 8);
     policy_->list_ends();
     if (slo_s > 2) return;
-    for (int i = 0; i < live; ++i) start_stream(i);
+    for (int request = 0; request < live; ++request) start_stream(request);
     next_ = live;
   }
 
-  // Queues requests before the prefill workers, until as many are in flight as may be and the rest wait.
+  // Lets requests arrive: as many as allowed are sent to the prefill workers, the others are queued.
   void queue(int live) {
-    for (int i = 0; i < live; ++i) arrive(i);
+    for (int request = 0; request < live; ++request) arrive(request);
     next_ = live;
   }
-  // Another request arrives, and one in flight completes its prefill, starts its stream and ends: the first
-  // request of the queue is sent in its place.
+  // Another request arrives, and the oldest one in flight completes its prefill, starts its stream and ends:
+  // the first request of the queue is sent in its place. Four inputs.
   void queued_turn() {
     arrive(next_++);
     const int request = sent_order_.front();
@@ -45,6 +46,7 @@
     policy_->attempt_ended(now_, request, 1, Outcome::generated, 100 * kMs, true, 0, {});
   }
 
+  // One request arrives, completes its prefill and starts its stream; the oldest request ends. Four inputs.
   void turn() {
     start_stream(next_);
     policy_->attempt_ended(now_, oldest_, 1, Outcome::generated, 100 * kMs, true, 0, {});
@@ -73,7 +75,8 @@
     settings.routers = 1;
     settings.tick = 2 * kMs;
     settings.max_attempts = 6;
-    settings.can_cancel = settings.allow_parallel_attempts = true;
+    settings.can_cancel = true;
+    settings.allow_parallel_attempts = true;
     settings.kv_hold_limit = 500 * kMs;
     settings.cold_start_capacity = 0.25;
     settings.ramp_time = 10'000 * kMs;
@@ -95,8 +98,10 @@
   }
 
   Nanos now_{1000 * kMs};
-  int next_{}, oldest_{}, rejected_{};
-  std::deque<int> sent_order_;
+  int next_{};    // the next request to arrive
+  int oldest_{};  // the oldest request that is streaming
+  int rejected_{};
+  std::deque<int> sent_order_;  // requests sent to prefill workers; read by queued_turn() only
   std::unique_ptr<Policy> policy_;
 };
 
--- a/benchmarks/loopback.cpp
+++ b/benchmarks/loopback.cpp
@@ -1,5 +1,5 @@
 // The kernel's cost of forwarding an event over loopback: epoll_wait, recv and send, without any program
-// logic. The router's own cost of an event comes on top of this.
+// logic. The router's own cost of an event is added to this.
 #include <arpa/inet.h>
 #include <benchmark/benchmark.h>
 #include <netinet/in.h>
@@ -16,26 +16,28 @@
 // The two ends of one connection.
 std::array<int, 2> connected_pair() {
   const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t size = sizeof at;
-  const int near = ::socket(AF_INET, SOCK_STREAM, 0);
-  if (::bind(listener, reinterpret_cast<sockaddr*>(&at), size) != 0 || ::listen(listener, 1) != 0 ||
-      ::getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size) != 0 ||
-      ::connect(near, reinterpret_cast<sockaddr*>(&at), size) != 0)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t size = sizeof address;
+  const int connecting = ::socket(AF_INET, SOCK_STREAM, 0);
+  if (::bind(listener, reinterpret_cast<sockaddr*>(&address), size) != 0 || ::listen(listener, 1) != 0 ||
+      ::getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size) != 0 ||
+      ::connect(connecting, reinterpret_cast<sockaddr*>(&address), size) != 0)
     throw std::runtime_error("cannot connect over loopback");
-  const int far = ::accept(listener, nullptr, nullptr);
+  const int accepted = ::accept(listener, nullptr, nullptr);
   ::close(listener);
-  const int on = 1;
-  for (const int fd : {near, far}) setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  return {near, far};
+  const int no_delay = 1;
+  for (const int fd : {connecting, accepted})
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &no_delay, sizeof no_delay);
+  return {connecting, accepted};
 }
 
-// forward: the event passes through an intermediate process. Without it, it goes from one end to the other
-// directly; the difference is the cost of forwarding.
+// forward: the event is received from one connection and sent on over a second one, as a router does. Without
+// it, the event passes one connection only; the difference is the cost of forwarding.
 void events(benchmark::State& state, bool forward) {
-  const auto engine = connected_pair(), client = connected_pair();
+  const auto engine = connected_pair();
+  const auto client = connected_pair();
   const int epoll = epoll_create1(0);
   epoll_event event{};
   event.events = EPOLLIN | EPOLLET;
@@ -46,8 +48,8 @@
     if (::send(engine[0], bytes.data(), size, 0) < 0) throw std::runtime_error("send");
     if (forward) {
       epoll_wait(epoll, &event, 1, -1);
-      const ssize_t got = ::recv(engine[1], bytes.data(), bytes.size(), 0);
-      if (::send(client[0], bytes.data(), static_cast<std::size_t>(got), 0) < 0)
+      const ssize_t received = ::recv(engine[1], bytes.data(), bytes.size(), 0);
+      if (::send(client[0], bytes.data(), static_cast<std::size_t>(received), 0) < 0)
         throw std::runtime_error("send");
       if (::recv(client[1], bytes.data(), bytes.size(), 0) < 0) throw std::runtime_error("recv");
     } else if (::recv(engine[1], bytes.data(), bytes.size(), 0) < 0) {
--- a/benchmarks/structures.cpp
+++ b/benchmarks/structures.cpp
@@ -1,4 +1,4 @@
-// The project's own data structures, each beside a standard one at the sizes that occur.
+// Compares the project's own data structures with standard ones, at the sizes that occur.
 #include <benchmark/benchmark.h>
 
 #include <boost/intrusive/set.hpp>
@@ -28,8 +28,9 @@
 }
 
 // Timers: a fixed number is armed. Each step rearms one before it is due, as happens to most deadlines of
-// attempts, and every sixteenth step fires those that are due. Compared with a priority queue, which keeps
-// cancelled entries until they are due, and with the balanced tree that the event loop used before.
+// attempts, and every sixteenth step fires those that are due. The timer wheel is compared with a priority
+// queue, which keeps cancelled entries until they are due, and with a balanced tree, which the event loop
+// used before.
 
 struct WheelTimer : bi::list_base_hook<bi::link_mode<bi::auto_unlink>> {
   std::int64_t at{};
@@ -38,27 +39,28 @@
 struct TreeTimer : bi::set_base_hook<bi::link_mode<bi::auto_unlink>> {
   std::int64_t at{};
   std::uint64_t order{};
-  friend bool operator<(const TreeTimer& a, const TreeTimer& b) {
-    return a.at != b.at ? a.at < b.at : a.order < b.order;
+  friend bool operator<(const TreeTimer& left, const TreeTimer& right) {
+    return left.at != right.at ? left.at < right.at : left.order < right.order;
   }
 };
 
 template <class Timer, class Set, class Fire>
 void timers(benchmark::State& state, Set set, Fire fire) {
-  std::vector<Timer> all(static_cast<std::size_t>(state.range(0)));
-  std::uint64_t random = 88172645463325252u, order = 0;
+  std::vector<Timer> armed(static_cast<std::size_t>(state.range(0)));
+  std::uint64_t random = 88172645463325252u;
+  std::uint64_t order = 0;
   std::int64_t now = kMs;
   const auto span = [&] { return static_cast<std::int64_t>(next_random(random) % 10'000) * kMs + kMs; };
-  for (Timer& t : all) {
-    t.at = now + span();
-    t.order = order++;
-    set(t);
+  for (Timer& timer : armed) {
+    timer.at = now + span();
+    timer.order = order++;
+    set(timer);
   }
   for (auto _ : state) {
-    Timer& t = all[next_random(random) % all.size()];
-    t.at = now + span();
-    t.order = order++;
-    set(t);
+    Timer& timer = armed[next_random(random) % armed.size()];
+    timer.at = now + span();
+    timer.order = order++;
+    set(timer);
     now += 20'000;
     if (order % 16 == 0)
       fire(now, [&](Timer& due) {
@@ -72,22 +74,22 @@
 void timers_wheel(benchmark::State& state) {
   auto wheel = std::make_unique<io::TimerWheel<WheelTimer>>();
   timers<WheelTimer>(
-      state, [&](WheelTimer& t) { wheel->set(t); },
+      state, [&](WheelTimer& timer) { wheel->set(timer); },
       [&](std::int64_t now, auto take) { wheel->fire(now, take); });
 }
 void timers_tree(benchmark::State& state) {
   bi::multiset<TreeTimer, bi::constant_time_size<false>> tree;
   timers<TreeTimer>(
       state,
-      [&](TreeTimer& t) {
-        t.unlink();
-        tree.insert(t);
+      [&](TreeTimer& timer) {
+        timer.unlink();
+        tree.insert(timer);
       },
       [&](std::int64_t now, auto take) {
         while (!tree.empty() && tree.begin()->at <= now) {
-          TreeTimer& t = *tree.begin();
+          TreeTimer& timer = *tree.begin();
           tree.erase(tree.begin());
-          take(t);
+          take(timer);
         }
       });
 }
@@ -96,19 +98,19 @@
     std::int64_t at;
     std::uint64_t order;
     WheelTimer* timer;
-    bool operator<(const Entry& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator<(const Entry& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   std::priority_queue<Entry> queue;
   timers<WheelTimer>(
       state,
-      [&](WheelTimer& t) {
-        queue.push({t.at, t.order, &t});
+      [&](WheelTimer& timer) {
+        queue.push({timer.at, timer.order, &timer});
       },
       [&](std::int64_t now, auto take) {
         while (!queue.empty() && queue.top().at <= now) {
-          const Entry e = queue.top();
+          const Entry entry = queue.top();
           queue.pop();
-          if (e.timer->order == e.order) take(*e.timer);
+          if (entry.timer->order == entry.order) take(*entry.timer);  // otherwise it was rearmed
         }
       });
 }
@@ -116,7 +118,7 @@
 BENCHMARK(timers_tree)->Arg(100)->Arg(5'000)->Arg(100'000);
 BENCHMARK(timers_queue)->Arg(100)->Arg(5'000)->Arg(100'000);
 
-// FrameAllocator: the frames of three nested coroutines for each event, with sizes as on the ordinary path.
+// FrameAllocator: the frames of three nested coroutines for each event, sized as for an ordinary request.
 
 constexpr std::size_t kFrameBytes[] = {320, 264, 200};
 
@@ -138,9 +140,9 @@
 BENCHMARK(frames_used_again);
 BENCHMARK(frames_heap);
 
-// The table of prefix holders: session keys with a few holders each. It is looked up for each choice of a
+// The table of prefix holders: a few workers for each session key. It is looked up for each choice of a
 // prefill worker, mostly without a hit; here half of the lookups miss. The policy's map of vectors is
-// compared with a flat array that stores the holders inline.
+// compared with a flat hash table that stores the holders inline.
 
 struct PrefixHolder {
   int worker{};
@@ -151,14 +153,14 @@
  public:
   explicit FlatHolderTable(std::size_t keys) : slots_(std::bit_ceil(keys * 2)) {}
   void add(std::uint64_t key, const PrefixHolder& holder) {
-    Slot& entry = slot_of(key);
-    entry.key = key;
-    entry.holders[entry.size < 4 ? entry.size++ : 3] = holder;
+    Slot& slot = slot_of(key);
+    slot.key = key;
+    slot.holders[slot.size < 4 ? slot.size++ : 3] = holder;
   }
   const PrefixHolder* find(std::uint64_t key, int& size) {
-    const Slot& entry = slot_of(key);
-    size = entry.size;
-    return entry.holders;
+    const Slot& slot = slot_of(key);
+    size = slot.size;
+    return slot.holders;
   }
 
  private:
@@ -168,16 +170,16 @@
     PrefixHolder holders[4];
   };
   Slot& slot_of(std::uint64_t key) {
-    std::size_t i = (key * 0x9e3779b97f4a7c15u) >> 32;
-    for (;; ++i) {
-      Slot& entry = slots_[i & (slots_.size() - 1)];
-      if (entry.key == key || entry.key == 0) return entry;
+    std::size_t index = (key * 0x9e3779b97f4a7c15u) >> 32;
+    for (;; ++index) {
+      Slot& slot = slots_[index & (slots_.size() - 1)];
+      if (slot.key == key || slot.key == 0) return slot;
     }
   }
   std::vector<Slot> slots_;
 };
 
-std::uint64_t key_of(std::uint64_t i) { return (i + 1) * 0xbf58476d1ce4e5b9u | 1; }
+std::uint64_t key_of(std::uint64_t index) { return (index + 1) * 0xbf58476d1ce4e5b9u | 1; }
 
 void holders_flat(benchmark::State& state) {
   const auto keys = static_cast<std::uint64_t>(state.range(0));
@@ -187,8 +189,8 @@
   double sum = 0;
   for (auto _ : state) {
     int size = 0;
-    const PrefixHolder* list = table.find(key_of(next_random(random) % (keys * 2)), size);
-    for (int i = 0; i < size; ++i) sum += list[i].tokens;
+    const PrefixHolder* holders = table.find(key_of(next_random(random) % (keys * 2)), size);
+    for (int i = 0; i < size; ++i) sum += holders[i].tokens;
   }
   benchmark::DoNotOptimize(sum);
 }
@@ -199,21 +201,23 @@
   std::uint64_t random = 88172645463325252u;
   double sum = 0;
   for (auto _ : state) {
-    const auto it = table.find(key_of(next_random(random) % (keys * 2)));
-    if (it == table.end()) continue;
-    for (const PrefixHolder& holder : it->second) sum += holder.tokens;
+    const auto entry = table.find(key_of(next_random(random) % (keys * 2)));
+    if (entry == table.end()) continue;
+    for (const PrefixHolder& holder : entry->second) sum += holder.tokens;
   }
   benchmark::DoNotOptimize(sum);
 }
 BENCHMARK(holders_flat)->Arg(1'000)->Arg(100'000);
 BENCHMARK(holders_map)->Arg(1'000)->Arg(100'000);
 
-// The buffer of events for one client: four events are appended, then all are taken for one gathered write.
+// The buffer of events for one client: four events are appended, then all are taken for one write. Two
+// strings that are swapped are compared with a ring and with a queue of strings.
 
 const std::string kEvent(160, 'x');
 
 void buffer_two_texts(benchmark::State& state) {
-  std::string outbox, sending;
+  std::string outbox;
+  std::string sending;
   for (auto _ : state) {
     for (int i = 0; i < 4; ++i) outbox.append("data: ").append(kEvent).append("\n\n");
     std::swap(outbox, sending);
@@ -224,11 +228,13 @@
 void buffer_ring(benchmark::State& state) {
   constexpr std::size_t kCapacityBytes = 64 * 1024;
   const std::unique_ptr<char[]> ring(new char[kCapacityBytes]);
-  std::size_t head = 0, tail = 0;
+  std::size_t head = 0;
+  std::size_t tail = 0;
   const auto put = [&](std::string_view text) {
-    const std::size_t at = head % kCapacityBytes, here = std::min(text.size(), kCapacityBytes - at);
-    std::memcpy(ring.get() + at, text.data(), here);
-    std::memcpy(ring.get(), text.data() + here, text.size() - here);
+    const std::size_t offset = head % kCapacityBytes;
+    const std::size_t before_end = std::min(text.size(), kCapacityBytes - offset);
+    std::memcpy(ring.get() + offset, text.data(), before_end);
+    std::memcpy(ring.get(), text.data() + before_end, text.size() - before_end);
     head += text.size();
   };
   for (auto _ : state) {
