--- a/benchmarks/structures.cpp
+++ b/benchmarks/structures.cpp
@@ -210,8 +210,8 @@
 BENCHMARK(holders_flat)->Arg(1'000)->Arg(100'000);
 BENCHMARK(holders_map)->Arg(1'000)->Arg(100'000);
 
-// The buffer of events for one client: four events are appended, then all are taken for one write. Two
-// strings that are swapped are compared with a ring and with a queue of strings.
+// The buffer of events for one client: four events are appended, then all are taken for one gathered write.
+// Two strings that are swapped are compared with a ring and with a queue of strings.
 
 const std::string kEvent(160, 'x');
 
