--- a/programs/cost.cpp
+++ b/programs/cost.cpp
@@ -26,7 +26,8 @@
 
 namespace {
 using CopyFunction = void* (*)(void*, const void*, std::size_t);
-CopyFunction real_memcpy, real_memmove;
+CopyFunction real_memcpy;
+CopyFunction real_memmove;
 // Until the constructor has run, and while dlsym looks up the real functions, bytes are copied one by one.
 __attribute__((constructor)) void find_real_functions() {
   real_memcpy = reinterpret_cast<CopyFunction>(dlsym(RTLD_NEXT, "memcpy"));
--- a/rig/cost.cpp
+++ b/rig/cost.cpp
@@ -403,7 +403,7 @@
   int requests_sent_{};
   int requests_answered_{};  // in this round
   int idle_streams_started_{};
-  int prefills_to_fail_{};  // left in this round
+  int prefills_to_fail_{};  // remaining in this round
 };
 
 }  // namespace
--- a/rig/load_generator.cpp
+++ b/rig/load_generator.cpp
@@ -136,7 +136,7 @@
         make_words(word_count, session->number * 1000 + static_cast<std::uint64_t>(turn) + 77));
     const std::size_t messages_before = session->messages.size();
     co_await run_turn(*session);
-    if (session->messages.size() == messages_before) break;  // no complete response: the session ends
+    if (session->messages.size() == messages_before) break;  // nothing was generated: the session ends
     co_await loop_.sleep_for(static_cast<Nanos>(exponential(static_cast<double>(traffic.mean_think_time))));
   }
   --active_sessions_;
--- a/rig/load_generator.h
+++ b/rig/load_generator.h
@@ -48,7 +48,7 @@
     int turns{};
   };
   io::Task<> run_session(std::unique_ptr<Session> session);
-  // Sends a request and its retries. The complete response, if one came, is added to the session's messages.
+  // Sends a request and its retries. The generated text, if any, is added to the session's messages.
   io::Task<> run_turn(Session& session);
   // Random words of four letters; the same seed gives the same words.
   std::string make_words(int count, std::uint64_t seed) const;
--- a/rig/scenario_runner.cpp
+++ b/rig/scenario_runner.cpp
@@ -26,7 +26,7 @@
         second_byte_(static_cast<std::uint32_t>(second_byte)),
         record_(loop_, folder + "/clients.jsonl"),
         scope_(loop_),
-        load_(loop_, scenario_, record_, [this](std::size_t i) { return router_address(i); }) {
+        load_(loop_, scenario_, record_, [this](std::size_t router) { return router_address(router); }) {
     // Each engine has an address of its own. Ports are fixed, so a second scenario with the same second byte
     // of the addresses cannot start.
     for (std::size_t i = 0; i < scenario_.engines.size(); ++i)
--- a/rig/scenario_runner.h
+++ b/rig/scenario_runner.h
@@ -18,7 +18,7 @@
   std::string discovery;            // path
 };
 
-// Stores the settings that the rules are checked with beside the records.
+// Stores the settings that the rules are checked with in the folder of the records.
 void write_rule_settings(const RuleSettings& settings, const std::string& folder);
 RuleSettings read_rule_settings(const std::string& folder);
 // Reads all records of a folder. Throws std::invalid_argument with the file and line of a record that cannot
--- a/rig/verdict.cpp
+++ b/rig/verdict.cpp
@@ -80,7 +80,7 @@
       const Nanos time_limit = sent->second->value("abandon", Nanos{0});
       const Nanos elapsed = line.value("took", Nanos{0});
       const Nanos time_to_first_token = line.value("first", Nanos{0});
-      // A router that was killed, up to 50 ms after the outcome, cannot answer the request.
+      // A router that was killed before the outcome, or up to 50 ms after it, cannot answer the request.
       if (outcome == "left" ||
           router_killed_between(router, time_of(*sent->second), time_of(line) + 50'000'000))
         continue;
@@ -201,7 +201,7 @@
     const auto check_hold_time = [&](const std::string& id, const HeldKv& kv, const Line& line) {
       if (!kv.decodes.empty() || time_of(line) - kv.since <= settings_.pin_limit + settings_.pin_slack)
         return;
-      // A router that was killed, up to 30 s before, cannot release the KV cache of its requests.
+      // A router that was killed since 30 s before the hold began cannot release the KV cache.
       if (router_killed_between(kv.router, kv.since - 30'000'000'000, time_of(line))) return;
       add_violation(5, fmt::format("KV cache {} was held {} ms: {}", id,
                                    (time_of(line) - kv.since) / 1'000'000, line.dump()));
