--- a/programs/soak.cpp
+++ b/programs/soak.cpp
@@ -1,5 +1,5 @@
-// cressrill-soak: a randomized fault soak of the router on real processes, and the stand-ins that it runs as
-// subcommands.
+// cressrill-soak: a randomized fault soak of the router on real processes. The stand-ins for workers and the
+// proxies in front of them are subcommands.
 #include <signal.h>
 #include <unistd.h>
 
@@ -30,14 +30,14 @@
   return kSuccess;
 }
 
-// SIGUSR1 silences the connections that are open; SIGUSR2 silences all connections until SIGHUP.
+// SIGUSR1 permanently silences the connections that are open. SIGUSR2 silences all connections until SIGHUP.
 io::Task<> handle_signals(io::Loop& loop, io::SignalSet& signals, soak::Proxy& proxy) {
   for (;;) {
     const int number = co_await signals.wait();
     if (number == SIGTERM || number == SIGINT) break;
     if (number == SIGUSR1) proxy.silence_open_connections();
-    if (number == SIGUSR2) proxy.silence_all(true);
-    if (number == SIGHUP) proxy.silence_all(false);
+    if (number == SIGUSR2) proxy.set_all_silent(true);
+    if (number == SIGHUP) proxy.set_all_silent(false);
   }
   loop.stop();
 }
@@ -63,16 +63,18 @@
     std::filesystem::remove_all(options.folder);
     const soak::SoakResult result = soak::run_soak(options);
     options.folder = parent;
-    const soak::CheckResult& judgement = result.check_result;
-    const bool passed = judgement.breaches.empty() && result.injected_call_faults > 0 && judgement.served > 0;
+    const soak::CheckResult& check_result = result.check_result;
+    const bool passed =
+        check_result.breaches.empty() && result.injected_call_faults > 0 && check_result.served > 0;
     failed += !passed;
-    std::cout << "seed " << options.seed << ": " << (passed ? "kept" : "BROKEN") << ", " << judgement.requests
-              << " requests, " << judgement.served << " served, " << judgement.refused << " refused, "
-              << judgement.failed << " failed, " << judgement.left << " left, " << judgement.excused
-              << " excused; " << result.faults_started << " troubles, " << result.injected_call_faults
+    std::cout << "seed " << options.seed << ": " << (passed ? "kept" : "BROKEN") << ", "
+              << check_result.requests << " requests, " << check_result.served << " served, "
+              << check_result.refused << " refused, " << check_result.failed << " failed, "
+              << check_result.left << " left, " << check_result.excused << " excused; "
+              << result.faults_started << " troubles, " << result.injected_call_faults
               << " calls failed; at most " << result.max_descriptors << " descriptors, "
               << result.max_memory_kb << " KB\n";
-    for (const std::string& breach : judgement.breaches) std::cout << "  " << breach << '\n';
+    for (const std::string& breach : check_result.breaches) std::cout << "  " << breach << '\n';
     std::cout.flush();
   }
   std::cout << seeds - failed << " passed, " << failed << " failed\n";
@@ -86,33 +88,40 @@
   app.require_subcommand(1);
   soak::SoakOptions options;
   std::uint64_t seed = 1;
-  int seeds = 1, seconds = 20;
+  int seeds = 1;
+  int seconds = 20;
   const std::string here = std::filesystem::read_symlink("/proc/self/exe").parent_path();
   options.soak_program = here + "/cressrill-soak";
   options.router_program = here + "/cressrill-router";
   options.shim = here + "/libcressrill_fault_shim.so";
   options.folder = "found/soak";
-  auto* all = app.add_subcommand("run", "run seeds, one after another, and check each");
-  all->add_option("--seed", seed, "the first");
-  all->add_option("--seeds", seeds, "how many")->check(CLI::Range(1, 10'000));
-  all->add_option("--seconds", seconds, "of each seed, during which faults are started")
+  auto* all =
+      app.add_subcommand("run", "run one soak for each seed, one after another, and check its records");
+  all->add_option("--seed", seed, "the first seed");
+  all->add_option("--seeds", seeds, "number of seeds")->check(CLI::Range(1, 10'000));
+  all->add_option("--seconds", seconds, "time for which faults are started, for each seed")
       ->check(CLI::Range(1, 3600));
-  all->add_option("--routers", options.routers, "processes")->check(CLI::Range(1, 16));
-  all->add_option("--workers", options.workers, "processes, each with a proxy")->check(CLI::Range(2, 24));
-  all->add_option("--folder", options.folder, "for records and logs");
-  all->add_option("--router-program", options.router_program, "another build of the router");
+  all->add_option("--routers", options.routers, "number of router processes")->check(CLI::Range(1, 16));
+  all->add_option("--workers", options.workers, "number of worker processes, each with a proxy")
+      ->check(CLI::Range(2, 24));
+  all->add_option("--folder", options.folder, "directory for records and logs");
+  all->add_option("--router-program", options.router_program, "path of the router program");
   soak::WorkerOptions worker;
-  std::string listen, target, record, cues;
-  bool prefill = false, decode = false;
+  std::string listen;
+  std::string target;
+  std::string record;
+  std::string cues;
+  bool prefill = false;
+  bool decode = false;
   auto* one_worker = app.add_subcommand("worker", "a stand-in for a worker");
   one_worker->add_option("--name", worker.name)->required();
   one_worker->add_option("--listen", listen)->required();
   one_worker->add_option("--record", record)->required();
   one_worker->add_option("--seed", worker.seed)->required();
-  one_worker->add_option("--cues", cues, "address that gets a datagram for each answer");
+  one_worker->add_option("--cues", cues, "address that gets a datagram for each response");
   one_worker->add_flag("--prefill", prefill);
   one_worker->add_flag("--decode", decode);
-  auto* proxy = app.add_subcommand("proxy", "a proxy that breaks connections");
+  auto* proxy = app.add_subcommand("proxy", "a proxy in front of a worker that simulates network faults");
   proxy->add_option("--listen", listen)->required();
   proxy->add_option("--target", target)->required();
   proxy->add_option("--seed", seed)->required();
--- a/rig/soak/checker.cpp
+++ b/rig/soak/checker.cpp
@@ -19,46 +19,49 @@
 
 // Allowance for delays between processes on a busy machine.
 constexpr Nanos kNetworkDelay = 30 * kMs;
-// How long links that pass again take to deliver what was buffered.
+// How long links that have recovered take to deliver what was buffered.
 constexpr Nanos kLinkBacklogTime = 300 * kMs;
-// How long a proxy may still delay what a worker wrote: a proxy delays answers until 200 ms after the start
-// of the connection, and no worker answers within 5 ms.
+// How long a proxy may delay what a worker wrote: it delays responses until 200 ms after the start of the
+// connection, and no worker responds within 5 ms.
 constexpr Nanos kMaxProxyDelay = 195 * kMs;
-// A request sent later than this after SIGTERM must get its whole stream, even if SIGKILL follows.
-constexpr Nanos kServedAfterTerm = 700 * kMs;
+// SIGKILL may cut off the streams of requests that were sent within this time after SIGTERM; later requests
+// must get their whole stream.
+constexpr Nanos kStreamCutGrace = 700 * kMs;
 // While idle clients use up the descriptors, a router may close a new connection without reading it. The
 // router may be suspended before it does.
 constexpr Nanos kMaxUnreadCloseDelay = 150 * kMs + kNetworkDelay;
+// End of a time span that has not ended. Adding kLinkBacklogTime to it does not overflow.
 constexpr Nanos kNoEnd = std::numeric_limits<Nanos>::max() - kLinkBacklogTime;
 
 // One attempt, as its worker recorded it.
 struct Attempt {
   Nanos recorded_at{};
   Nanos arrived_at{};
-  Nanos ended_at{};
+  Nanos ended_at{};  // 0: still at the worker
   std::string worker;
-  std::uint64_t number{};  // counted by that worker
+  std::uint64_t number{};  // sequence number at that worker
   bool is_prefill{};
   bool rejected{};
   std::int64_t budget_ms{};
 };
 
+// One request, as its client and the workers recorded it. A time of 0 means that the event did not occur.
 struct Request {
   Nanos started_at{};  // before the first byte was written; a client may record `sent_at` late
   Nanos sent_at{};
   Nanos deadline{};
   Nanos left_at{};
-  Nanos answered_at{};
-  Nanos crossed_at{};  // the close of a kept connection crossed it, and the client resent it under a new id
+  Nanos response_at{};    // start of a response with status 200, end of any other
+  Nanos crossed_at{};     // the router's close of the reused connection may have crossed the request
   Nanos stream_cut_at{};  // the stream ended without its last chunk
   int status{};
   std::string kind;
   std::string router;
   bool first_on_connection{};
-  std::string failure;  // why there was no answer
+  std::string failure;  // why there was no response
   Nanos failed_at{};
   std::vector<Attempt> attempts;
-  std::vector<KvAction> hold_marks;                             // in order of time
+  std::vector<KvAction> kv_actions;                             // ordered by time
   std::map<int, std::pair<Nanos, std::string>> events_written;  // by event index: the time and the worker
   std::map<int, Nanos> events_read;
 };
@@ -74,7 +77,8 @@
       : records_(std::move(lines)), limits_(limits) {}
 
   CheckResult run() {
-    std::ranges::stable_sort(records_, {}, [](const Recorder::Line& l) { return l.at("t").get<Nanos>(); });
+    std::ranges::stable_sort(records_, {},
+                             [](const Recorder::Line& line) { return line.at("t").get<Nanos>(); });
     for (const Recorder::Line& line : records_) read_line(line);
     for (const auto& [id, request] : requests_) check_request(id, request);
     return std::move(result_);
@@ -117,7 +121,7 @@
     if (event == "stream_cut") request.stream_cut_at = at;
     if (event == "left") request.left_at = at;
     if (event == "answer") {
-      request.answered_at = at;
+      request.response_at = at;
       request.status = line.at("status");
     }
     if (event == "no_answer") {
@@ -129,12 +133,12 @@
                                   line.at("reads"), false, line.at("budget_ms")});
     if (event == "post_end" || event == "turned_away") end_attempt(request, event, at, line);
     if (event == "held")
-      request.hold_marks.push_back({KvAction::Kind::held, at, worker_number(line.at("worker"))});
+      request.kv_actions.push_back({KvAction::Kind::held, at, worker_number(line.at("worker"))});
     if (event == "fetched")
-      request.hold_marks.push_back({KvAction::Kind::taken, at, worker_number(line.at("worker"))});
+      request.kv_actions.push_back({KvAction::Kind::taken, at, worker_number(line.at("worker"))});
     if (event == "released")
-      request.hold_marks.push_back({KvAction::Kind::released, at, worker_number(line.at("worker"))});
-    // A client receives only one stream, the one that started last.
+      request.kv_actions.push_back({KvAction::Kind::released, at, worker_number(line.at("worker"))});
+    // The client receives only the stream that started last.
     if (event == "event" && line.at("index") == 0) request.events_written.clear();
     if (event == "event") request.events_written[line.at("index")] = {at, line.at("worker")};
     if (event == "event_read") request.events_read[line.at("index")] = at;
@@ -153,19 +157,21 @@
 
   void add_breach(std::string what) { result_.breaches.push_back(std::move(what)); }
 
+  // Whether the process was suspended by SIGSTOP at about that time.
   bool stopped_around(const std::string& process, Nanos at) const {
     const auto spans = process_stops_.find(process);
     if (spans == process_stops_.end()) return false;
-    return std::ranges::any_of(
-        spans->second, [at](const TimeSpan& s) { return at >= s.from - 50 * kMs && at <= s.to + 300 * kMs; });
+    return std::ranges::any_of(spans->second, [at](const TimeSpan& span) {
+      return at >= span.from - 50 * kMs && at <= span.to + 300 * kMs;
+    });
   }
   bool killed_between(const std::string& process, Nanos from, Nanos to) const {
     const auto kills = kills_.find(process);
     return kills != kills_.end() &&
-           std::ranges::any_of(kills->second, [=](Nanos k) { return k >= from && k <= to; });
+           std::ranges::any_of(kills->second, [=](Nanos kill) { return kill >= from && kill <= to; });
   }
-  // Whether what arrived at a worker at that time may have been delayed on silent links. Link records name
-  // the worker without its generation.
+  // Whether data that arrived at a worker at that time may have been delayed by a silent link. Records of
+  // links name the worker without its generation.
   bool link_was_silent(const std::string& worker, Nanos at) const {
     const auto outages = link_outages_.find(worker.substr(0, worker.rfind('-')));
     return outages != link_outages_.end() &&
@@ -173,11 +179,11 @@
              return at >= outage.from && at <= outage.to + kLinkBacklogTime;
            });
   }
-  // Whether what a worker wrote may still have been in its proxy when its links fell silent.
+  // Whether data that a worker wrote may still have been in its proxy when the worker's links fell silent.
   bool may_be_held_back_by_link(const std::string& worker, Nanos written) const {
     return link_was_silent(worker, written) || link_was_silent(worker, written + kMaxProxyDelay);
   }
-  // The earliest time, from `at` on, at which discovery answered queries.
+  // The earliest time, not before `at`, at which discovery answered queries.
   Nanos discovery_reachable_from(Nanos at) const {
     for (const TimeSpan& outage : discovery_outages_)
       if (at >= outage.from && at < outage.to) return outage.to;
@@ -189,10 +195,10 @@
     if (request.crossed_at > 0 || may_be_closed_unread(request)) return check_unread(id, request);
     ++result_.requests;
     if (killed_between(request.router, request.started_at, request.deadline + 500 * kMs + kNetworkDelay) &&
-        request.answered_at == 0) {
+        request.response_at == 0) {
       ++result_.excused;
     } else {
-      check_answer(id, request);
+      check_response(id, request);
     }
     for (const Attempt& attempt : request.attempts) check_attempt(id, request, attempt);
     check_repeats(id, request);
@@ -208,19 +214,18 @@
     }
   }
 
-  // Whether the router may have closed the new connection without reading it, as idle clients used up the
-  // descriptors.
+  // Whether the router may have closed the new connection without reading it because idle clients used up
+  // its descriptors.
   bool may_be_closed_unread(const Request& request) const {
     if (!request.first_on_connection || request.failure != "closed" ||
         request.failed_at - request.sent_at > kMaxUnreadCloseDelay)
       return false;
-    return std::ranges::any_of(idle_crowds_, [&](const TimeSpan& c) {
-      return request.started_at >= c.from && request.started_at <= c.to;
+    return std::ranges::any_of(idle_crowds_, [&](const TimeSpan& crowd) {
+      return request.started_at >= crowd.from && request.started_at <= crowd.to;
     });
   }
 
-  // The client resends such a request elsewhere under a new id, so that its router must not have forwarded
-  // it.
+  // A router must not forward a request that it closes unread: the client resends it under a new id.
   void check_unread(const std::string& id, const Request& request) {
     if (request.attempts.empty() ||
         killed_between(request.router, request.started_at, std::max(request.crossed_at, request.failed_at)))
@@ -229,27 +234,28 @@
                            request.router));
   }
 
-  // A stream that SIGKILL cuts off is a breach if its request was sent well after SIGTERM.
+  // Reports streams that SIGKILL cut off although their request was sent more than kStreamCutGrace after
+  // SIGTERM.
   void check_stream(const std::string& id, const Request& request) {
     const auto spans = terminations_.find(request.router);
     if (request.stream_cut_at == 0 || spans == terminations_.end()) return;
     for (const TimeSpan& termination : spans->second) {
       const bool cut_by_kill = request.stream_cut_at >= termination.to - kNetworkDelay &&
                                request.stream_cut_at <= termination.to + kNetworkDelay;
-      if (cut_by_kill && request.sent_at > termination.from + kServedAfterTerm)
+      if (cut_by_kill && request.sent_at > termination.from + kStreamCutGrace)
         add_breach(fmt::format("{}: its stream was cut by the kill, {} ms after SIGTERM", id,
                                (termination.to - termination.from) / kMs));
     }
   }
 
-  void check_answer(const std::string& id, const Request& request) {
+  void check_response(const std::string& id, const Request& request) {
     if (request.left_at > 0) {
       ++result_.left;
       return;
     }
-    if (request.answered_at == 0) {
+    if (request.response_at == 0) {
       if (request.sent_at + 6 * kSecond > last_record_at_ && request.failure.empty())
-        return;  // the soak ended before the answer was due
+        return;  // the soak ended before the response was due
       add_breach(fmt::format("{}: lost at {} after {} ms ({})", id, request.router,
                              (last_record_at_ - request.sent_at) / kMs, request.failure));
       return;
@@ -258,9 +264,9 @@
     ++(served                                           ? result_.served
        : request.status == 503 || request.status == 429 ? result_.refused
                                                         : result_.failed);
-    if (!served && request.answered_at > request.deadline + 500 * kMs + kNetworkDelay)
+    if (!served && request.response_at > request.deadline + 500 * kMs + kNetworkDelay)
       add_breach(fmt::format("{}: answered {} ms after its deadline", id,
-                             (request.answered_at - request.deadline) / kMs));
+                             (request.response_at - request.deadline) / kMs));
   }
 
   void check_attempt(const std::string& id, const Request& request, const Attempt& attempt) {
@@ -270,7 +276,8 @@
     if (request.left_at > 0 && attempt.arrived_at > request.left_at + 100 * kMs + kNetworkDelay)
       add_breach(fmt::format("{}: attempt at {} started {} ms after the client left", id, attempt.worker,
                              (attempt.arrived_at - request.left_at) / kMs));
-    const Nanos budget = attempt.budget_ms * kMs, time_left = request.deadline - attempt.arrived_at;
+    const Nanos budget = attempt.budget_ms * kMs;
+    const Nanos time_left = request.deadline - attempt.arrived_at;
     if (budget > std::max<Nanos>(time_left, 0) + 150 * kMs + kNetworkDelay)
       add_breach(fmt::format("{}: {} was given a budget of {} ms where {} ms were left", id, attempt.worker,
                              attempt.budget_ms, time_left / kMs));
@@ -282,8 +289,8 @@
                              attempt.worker, (attempt.arrived_at - notified_at) / kMs));
   }
 
-  // Requests with side effects: once a decode attempt may have run, no second one is allowed (kind "pay"), or
-  // only within the window of the first (kind "order").
+  // Requests with side effects: after a decode attempt that may have run, a second one is not allowed (kind
+  // "pay"), or only within the window that starts with the first (kind "order").
   void check_repeats(const std::string& id, const Request& request) {
     if (request.kind == "chat") return;
     std::optional<Nanos> first_at;
@@ -303,7 +310,7 @@
     for (const Attempt& attempt : request.attempts)
       attempts.push_back({attempt.arrived_at, attempt.ended_at == 0 ? kNever : attempt.ended_at,
                           worker_number(attempt.worker), attempt.is_prefill});
-    for (const HeldSpan& span : held_spans(attempts, request.hold_marks, last_record_at_)) {
+    for (const HeldSpan& span : held_spans(attempts, request.kv_actions, last_record_at_)) {
       const Nanos max_unattended = limits_.held_for + 300 * kMs + kNetworkDelay;
       const Nanos unattended = unattended_until_kill(request, attempts, span);
       if (unattended <= max_unattended || any_worker_stopped(request)) continue;
@@ -311,22 +318,22 @@
     }
   }
   // How long the KV cache was unattended until the first kill of the request's router or of one of its
-  // workers. The kill excuses the time after it, not the time before.
+  // workers. Time after that kill does not count.
   Nanos unattended_until_kill(const Request& request, const std::vector<AttemptSpan>& attempts,
                               const HeldSpan& span) const {
     const Nanos kill = first_kill(request, span.from, span.until);
     if (kill == kNever) return span.unattended;
-    std::vector<KvAction> marks_before = request.hold_marks;
-    std::erase_if(marks_before, [kill](const KvAction& mark) { return mark.at > kill; });
-    for (const HeldSpan& span_until_kill : held_spans(attempts, marks_before, kill))
+    std::vector<KvAction> actions_before_kill = request.kv_actions;
+    std::erase_if(actions_before_kill, [kill](const KvAction& mark) { return mark.at > kill; });
+    for (const HeldSpan& span_until_kill : held_spans(attempts, actions_before_kill, kill))
       if (span_until_kill.from == span.from) return span_until_kill.unattended;
     return 0;
   }
   int worker_number(const std::string& worker) {
     return worker_numbers_.try_emplace(worker, static_cast<int>(worker_numbers_.size())).first->second;
   }
-  // The first kill of the request's router, or of a worker it was sent to; kNever if there was none in that
-  // time.
+  // The first kill, from `from` to `until`, of the request's router or of a worker that it was sent to;
+  // kNever if there was none.
   Nanos first_kill(const Request& request, Nanos from, Nanos until) const {
     Nanos first_kill_at = kNever;
     const auto consider = [&](const std::string& process) {
--- a/rig/soak/checker.h
+++ b/rig/soak/checker.h
@@ -1,6 +1,6 @@
 // Checks the records of a soak's clients, workers and conductor against the routing rules, without relying on
-// what the routers report about themselves. Times are of the machine's monotonic clock, which all processes
-// share.
+// what the routers report about themselves. All timestamps are of the machine's monotonic clock, which the
+// processes share.
 #pragma once
 
 #include <string>
@@ -11,22 +11,24 @@
 namespace cressrill::rig::soak {
 
 struct CheckerLimits {
-  io::Nanos drain_grace = 500 * io::kMs;  // for which a draining worker may still get requests
-  io::Nanos held_for = 1000 * io::kMs;    // how long KV cache may be held while no attempt is at a worker
-  io::Nanos window = 1500 * io::kMs;      // in which a request with an idempotency key may be repeated
+  io::Nanos drain_grace = 500 * io::kMs;  // how long a draining worker may still get requests
+  io::Nanos held_for =
+      1000 * io::kMs;  // longest time that KV cache may be held while no attempt is at a worker
+  io::Nanos window =
+      1500 * io::kMs;  // in which an "order" request may be repeated, from its first decode attempt
 };
 
 struct CheckResult {
   std::vector<std::string> breaches;  // one line each
-  std::size_t requests{};
-  std::size_t served{};
-  std::size_t refused{};
-  std::size_t failed{};
-  std::size_t left{};     // their client left before the answer
-  std::size_t excused{};  // unanswered because their router was killed
+  std::size_t requests{};             // without those that a router closed unread
+  std::size_t served{};               // status 200
+  std::size_t refused{};              // status 429 or 503
+  std::size_t failed{};               // any other status
+  std::size_t left{};                 // the client left before the response
+  std::size_t excused{};              // without a response, because the router was killed
 };
 
-// Sorts the lines by time. A record without a required field throws nlohmann::json::exception.
+// Checks records that are given in any order. Throws nlohmann::json::exception if one lacks a required field.
 CheckResult check(std::vector<Recorder::Line> lines, const CheckerLimits& limits);
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/clients.cpp
+++ b/rig/soak/clients.cpp
@@ -9,7 +9,7 @@
 using io::kMs;
 
 namespace {
-constexpr io::Nanos kAnswerTimeout = 9 * io::kSecond;  // of a client that does not leave early
+constexpr io::Nanos kResponseTimeout = 9 * io::kSecond;  // of a client that does not leave early
 }  // namespace
 
 Clients::Clients(io::Loop& loop, Recorder& record, std::uint64_t seed, int longest_budget_ms,
@@ -84,7 +84,8 @@
 io::Task<bool> Clients::send_request(io::Socket& socket, http::MessageReader& reader,
                                      const RouterEndpoint& router, bool first_on_connection) {
   static constexpr const char* kKinds[] = {"chat", "chat", "order", "pay"};
-  const std::string id = fmt::format("c{}", ++next_id_), kind = kKinds[random_int(0, 3)];
+  const std::string id = fmt::format("c{}", ++next_id_);
+  const std::string kind = kKinds[random_int(0, 3)];
   const int budget_ms = random_int(400, longest_budget_ms_);
   const std::string request_text = format_chat_request(id, kind, budget_ms);
   const io::Nanos started_at = loop_.update_now();
@@ -100,7 +101,7 @@
                           {"began", started_at}});
   Departure departure = draw_departure();
   const auto reusable =
-      co_await wait_for_answer_or_leave(id, departure, read_answer(reader, id, first_on_connection));
+      co_await wait_for_response_or_leave(id, departure, read_response(reader, id, first_on_connection));
   if (reusable) co_return *reusable;
   if (departure.leaves) {
     socket.close();
@@ -112,18 +113,18 @@
   co_return false;
 }
 
-// One client in twelve leaves after a random time. One in six leaves when a worker answers, half of those
-// shortly after it.
+// One client in twelve leaves after a random time. One in six leaves when a worker responds: half of these at
+// once, the others up to 2 ms later.
 Clients::Departure Clients::draw_departure() {
-  static constexpr Cue kCues[] = {Cue::before_prefill_answer, Cue::after_prefill_answer,
-                                  Cue::before_decode_answer, Cue::after_decode_answer};
+  static constexpr Cue kCues[] = {Cue::before_prefill_response, Cue::after_prefill_response,
+                                  Cue::before_decode_response, Cue::after_decode_response};
   const int choice = random_int(0, 11);
-  Departure out{.leaves = choice == 0, .at = loop_.now() + kAnswerTimeout};
-  if (choice == 0) out.at = loop_.now() + random_int(1, 400) * kMs;
-  if (choice != 1 && choice != 2) return out;
-  out.cue = kCues[random_int(0, 3)];
-  out.after_cue = random_int(0, 1) == 0 ? 0 : random_int(0, 2000) * io::kMicrosecond;
-  return out;
+  Departure departure{.leaves = choice == 0, .at = loop_.now() + kResponseTimeout};
+  if (choice == 0) departure.at = loop_.now() + random_int(1, 400) * kMs;
+  if (choice != 1 && choice != 2) return departure;
+  departure.cue = kCues[random_int(0, 3)];
+  departure.after_cue = random_int(0, 1) == 0 ? 0 : random_int(0, 2000) * io::kMicrosecond;
+  return departure;
 }
 
 void Clients::on_cue(Cue cue, const std::string& id) {
@@ -132,27 +133,27 @@
 }
 
 // Returns whether the connection can be used again, or nothing if the client leaves or times out first.
-io::Task<std::optional<bool>> Clients::wait_for_answer_or_leave(const std::string& id, Departure& departure,
-                                                                io::Task<bool> answer) {
+io::Task<std::optional<bool>> Clients::wait_for_response_or_leave(const std::string& id, Departure& departure,
+                                                                  io::Task<bool> response) {
   if (departure.cue == Cue::none)
-    co_return co_await io::with_deadline(loop_, departure.at, std::move(answer));
+    co_return co_await io::with_deadline(loop_, departure.at, std::move(response));
   std::optional<bool> reusable;
   io::Signal finished(loop_);
   CueWait wait{departure, io::Signal(loop_)};
   cue_waits_[id] = &wait;
-  io::Scope both(loop_);
-  both.spawn([](io::Task<bool> task, std::optional<bool>& result, io::Signal& done) -> io::Task<> {
+  io::Scope waiting_tasks(loop_);
+  waiting_tasks.spawn([](io::Task<bool> task, std::optional<bool>& result, io::Signal& done) -> io::Task<> {
     result = co_await std::move(task);
     done.notify();
-  }(std::move(answer), reusable, finished));
-  both.spawn([](io::Loop& loop, CueWait& cue, io::Signal& done) -> io::Task<> {
+  }(std::move(response), reusable, finished));
+  waiting_tasks.spawn([](io::Loop& loop, CueWait& cue, io::Signal& done) -> io::Task<> {
     co_await cue.received.wait();
     if (cue.departure.after_cue > 0) co_await loop.sleep_for(cue.departure.after_cue);
     cue.departure.leaves = true;
     done.notify();
   }(loop_, wait, finished));
   co_await io::wait_until(loop_, finished, departure.at);
-  both.cancel();
+  waiting_tasks.cancel();
   cue_waits_.erase(id);
   co_return reusable;
 }
@@ -168,16 +169,16 @@
   co_return true;
 }
 
-// Returns whether the answer is complete and the connection can be used again.
-io::Task<bool> Clients::read_answer(http::MessageReader& reader, const std::string& id,
-                                    bool first_on_connection) {
+// Returns whether the response is complete and the connection can be used again.
+io::Task<bool> Clients::read_response(http::MessageReader& reader, const std::string& id,
+                                      bool first_on_connection) {
   http::Head head;
   http::MessageError error = co_await reader.read_head(head);
   if (error != http::MessageError::none) {
-    // On a reused connection the router's close may have crossed the request. The router has not read it
-    // then.
-    const bool may_have_crossed = !first_on_connection && error == http::MessageError::closed;
-    record_.record(may_have_crossed ? "crossed" : "no_answer", {{"id", id}, {"how", http::to_string(error)}});
+    // On a reused connection the router's close may have crossed the request, which it then has not read.
+    const bool close_may_have_crossed = !first_on_connection && error == http::MessageError::closed;
+    record_.record(close_may_have_crossed ? "crossed" : "no_answer",
+                   {{"id", id}, {"how", http::to_string(error)}});
     co_return false;
   }
   const int status = head.status;
@@ -198,13 +199,13 @@
   co_return error == http::MessageError::none&& head.keep_alive;
 }
 
-// Sends a malformed request. The router has to answer with an error or close the connection within 3 s.
+// Sends a malformed request. The router has to respond with an error or close the connection within 3.5 s.
 io::Task<> Clients::send_malformed(io::Socket& socket, const RouterEndpoint& router) {
-  static constexpr std::string_view kTexts[] = {
+  static constexpr std::string_view kMalformedRequests[] = {
       "\x16\x03\x01 hello\r\n\r\n", "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: -4\r\n\r\nbody",
       "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Call-", "GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n"};
   const io::Nanos started_at = loop_.now();
-  co_await socket.write_all(kTexts[static_cast<std::size_t>(random_int(0, 3))]);
+  co_await socket.write_all(kMalformedRequests[static_cast<std::size_t>(random_int(0, 3))]);
   http::MessageReader reader(socket, http::MessageKind::response);
   http::Head head;
   const auto error = co_await io::with_deadline(loop_, started_at + 3500 * kMs, reader.read_head(head));
--- a/rig/soak/conductor.h
+++ b/rig/soak/conductor.h
@@ -26,10 +26,10 @@
 struct SoakResult {
   CheckResult check_result;
   std::uint64_t injected_call_faults{};  // system calls that the fault shim changed
-  std::size_t faults_started{};          // faults started
-  std::size_t max_descriptors{};         // the most that any router had open
-  std::size_t max_memory_kb{};           // the largest resident memory of any router
-  std::uint64_t router_violations{};     // invariant violations that routers logged themselves
+  std::size_t faults_started{};
+  std::size_t max_descriptors{};      // the most that any router had open
+  std::size_t max_memory_kb{};        // the largest resident memory of any router
+  std::uint64_t router_violations{};  // invariant violations that routers logged themselves
 };
 
 // Runs one soak and checks its records. Throws std::system_error or std::filesystem::filesystem_error if the
--- a/rig/soak/cue.cpp
+++ b/rig/soak/cue.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // A datagram holds the cue and then the request id, padded with zeros. All datagrams have this size, because
-// a read that fills its buffer tells the event loop that more data may be available.
+// the event loop takes a read that fills its buffer as a sign that more data may be available.
 constexpr std::size_t kDatagramBytes = 32;
 
 int datagram_socket() {
--- a/rig/soak/cue.h
+++ b/rig/soak/cue.h
@@ -1,4 +1,4 @@
-// Notifies the clients of a soak, by UDP datagrams over loopback, that a worker is answering, so that some of
+// Notifies the clients of a soak, by UDP datagrams over loopback, that a worker is responding, so that some of
 // them can leave at exactly that time.
 #pragma once
 
@@ -9,19 +9,19 @@
 
 namespace cressrill::rig::soak {
 
-// What a worker is about to write or has just written. The answer of a stream is its first byte. The values
-// are sent in datagrams.
+// What a worker is about to write or has just written. For a streamed response, this is its start: the head
+// and the first event. The values are sent in the datagrams.
 enum class Cue : char {
   none = '-',
-  before_prefill_answer = 'p',
-  after_prefill_answer = 'P',
-  before_decode_answer = 'd',
-  after_decode_answer = 'D'
+  before_prefill_response = 'p',
+  after_prefill_response = 'P',
+  before_decode_response = 'd',
+  after_decode_response = 'D'
 };
 
 class CueSender {
  public:
-  // Port 0: send() does nothing. Throws std::system_error if the socket cannot be set up.
+  // With port 0, send() does nothing. Throws std::system_error if the socket cannot be set up.
   CueSender(io::Loop& loop, io::Address to);
   // Never blocks. A datagram that the kernel does not accept is dropped.
   void send(Cue cue, const std::string& id);
--- a/rig/soak/discovery.cpp
+++ b/rig/soak/discovery.cpp
@@ -6,11 +6,9 @@
 
 Discovery::Discovery(io::Loop& loop, std::size_t agents) : loop_(loop), changed_(loop) {
   for (std::size_t i = 0; i < agents; ++i)
-    agents_.push_back(
-        std::make_unique<http::Server>(loop, io::Address{INADDR_LOOPBACK, 0},
-                                       [this](http::Request& request, http::ResponseWriter& response) {
-                                         return answer(request, response);
-                                       }));
+    agents_.push_back(std::make_unique<http::Server>(
+        loop, io::Address{INADDR_LOOPBACK, 0},
+        [this](http::Request& request, http::ResponseWriter& response) { return serve(request, response); }));
 }
 
 void Discovery::put(json target) {
@@ -27,20 +25,22 @@
 
 json Discovery::list_since(std::uint64_t version) const {
   json changed = json::array();
-  for (const auto& [at, target] : changes_)
-    if (at > version) changed.push_back(target);
+  for (const auto& [changed_in, target] : changes_)
+    if (changed_in > version) changed.push_back(target);
   return {{"rev", version_}, {"all", false}, {"targets", changed}};
 }
 
-io::Task<> Discovery::answer(http::Request& request, http::ResponseWriter& response) {
-  const std::string target(request.head.target);
-  const std::size_t index = target.find("index=");
-  const bool is_full_list = index == std::string::npos;
-  const std::uint64_t since = is_full_list ? 0 : std::stoull(target.substr(index + 6));
-  const io::Nanos until =
-      is_full_list ? 0 : loop_.now() + std::stoll(target.substr(target.find("wait=") + 5)) * io::kMs;
-  while (silent_ || (!is_full_list && version_ <= since && loop_.now() < until)) {
-    const io::Nanos next_check = silent_ ? loop_.now() + 100 * io::kMs : until;
+io::Task<> Discovery::serve(http::Request& request, http::ResponseWriter& response) {
+  const std::string request_target(request.head.target);
+  const std::size_t index_position = request_target.find("index=");
+  const bool is_full_list = index_position == std::string::npos;
+  const std::uint64_t since = is_full_list ? 0 : std::stoull(request_target.substr(index_position + 6));
+  const io::Nanos watch_deadline =
+      is_full_list
+          ? 0
+          : loop_.now() + std::stoll(request_target.substr(request_target.find("wait=") + 5)) * io::kMs;
+  while (silent_ || (!is_full_list && version_ <= since && loop_.now() < watch_deadline)) {
+    const io::Nanos next_check = silent_ ? loop_.now() + 100 * io::kMs : watch_deadline;
     co_await io::wait_until(loop_, changed_, next_check);
   }
   const json list =
--- a/rig/soak/idle_crowd.cpp
+++ b/rig/soak/idle_crowd.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 constexpr io::Nanos kConnectTimeout = io::kSecond;
-constexpr int kMinReconnectDelayMs = 300, kMaxReconnectDelayMs = 2000;
+constexpr int kMinReconnectDelayMs = 300;
+constexpr int kMaxReconnectDelayMs = 2000;
 }  // namespace
 
 IdleCrowd::IdleCrowd(io::Loop& loop, std::uint64_t seed, int clients,
--- a/rig/soak/idle_crowd.h
+++ b/rig/soak/idle_crowd.h
@@ -1,5 +1,5 @@
 // Idle clients that open connections and send nothing, in order to use up the descriptors that a router has
-// for clients. A client whose connection is closed reconnects after a random delay.
+// for clients. A client whose connection is closed connects again after a random delay.
 #pragma once
 
 #include <functional>
@@ -10,10 +10,10 @@
 
 namespace cressrill::rig::soak {
 
+// The clients run from construction to destruction.
 class IdleCrowd {
  public:
-  // address: returns the address of the router, or none while it accepts no connections. Clients disconnect
-  // on destruction.
+  // address: returns the address of the router, or none while it accepts no connections.
   IdleCrowd(io::Loop& loop, std::uint64_t seed, int clients,
             std::function<std::optional<io::Address>()> address);
 
--- a/rig/soak/worker.cpp
+++ b/rig/soak/worker.cpp
@@ -25,16 +25,16 @@
 void SoakWorker::send_cue(Moment moment, const std::string& id) {
   const bool before = moment == Moment::before;
   if (options_.is_prefill)
-    cues_.send(before ? Cue::before_prefill_answer : Cue::after_prefill_answer, id);
+    cues_.send(before ? Cue::before_prefill_response : Cue::after_prefill_response, id);
   else
-    cues_.send(before ? Cue::before_decode_answer : Cue::after_decode_answer, id);
+    cues_.send(before ? Cue::before_decode_response : Cue::after_decode_response, id);
 }
 
-io::Task<> SoakWorker::serve(http::Request& request, http::ResponseWriter& answer) {
+io::Task<> SoakWorker::serve(http::Request& request, http::ResponseWriter& response) {
   const std::string target(request.head.target);
   if (request.head.method == "DELETE") {
     record_event("released", target.substr(target.rfind('/') + 1));
-    co_await answer.respond(204, "", "");
+    co_await response.respond(204, "", "");
     co_return;
   }
   const std::string id(request.head.field("x-call-id").value_or("none"));
@@ -45,80 +45,81 @@
                         {"budget_ms", std::stoll(budget)},
                         {"came", request.received_at}};
   record_event("post", id, std::move(fields));
-  // The attempt ends when its connection ends, even if its task still runs.
+  // The attempt ends when its connection is closed, even if its task still runs.
   bool ended = false;
-  io::Scope watch(loop_);
-  watch.spawn([](SoakWorker& worker, std::string request_id, std::uint64_t attempt_number,
-                 http::ResponseWriter& response, bool& has_ended) -> io::Task<> {
-    co_await response.wait_for_client_close();
+  io::Scope connection_watch(loop_);
+  connection_watch.spawn([](SoakWorker& worker, std::string request_id, std::uint64_t attempt_number,
+                            http::ResponseWriter& watched_response, bool& has_ended) -> io::Task<> {
+    co_await watched_response.wait_for_client_close();
     has_ended = true;
     worker.record_event("post_end", request_id, {{"number", attempt_number}});
-  }(*this, id, number, answer, ended));
-  co_await handle_attempt(id, number, answer);
+  }(*this, id, number, response, ended));
+  co_await handle_attempt(id, number, response);
   if (!ended) record_event("post_end", id, {{"number", number}});
 }
 
 io::Task<> SoakWorker::handle_attempt(const std::string& id, std::uint64_t number,
-                                      http::ResponseWriter& answer) {
-  const bool failed = co_await maybe_fail(id, number, answer);
+                                      http::ResponseWriter& response) {
+  const bool failed = co_await maybe_fail(id, number, response);
   if (failed) co_return;
   if (options_.is_prefill)
-    co_await prefill(id, answer);
+    co_await prefill(id, response);
   else
-    co_await decode(id, answer);
+    co_await decode(id, response);
 }
 
 io::Task<bool> SoakWorker::maybe_fail(const std::string& id, std::uint64_t number,
-                                      http::ResponseWriter& answer) {
-  const double drawn = random_fraction() / options_.failure_share;
-  if (drawn >= 1) co_return false;
+                                      http::ResponseWriter& response) {
+  const double failure_draw = random_fraction() / options_.failure_share;
+  if (failure_draw >= 1) co_return false;
   const io::Nanos delay = random_delay(0, 40);
   co_await loop_.sleep_for(delay);
   send_cue(Moment::before, id);
-  if (drawn < 0.4) {
+  if (failure_draw < 0.4) {
     record_event("turned_away", id, {{"number", number}});
-    co_await answer.respond(503, "X-Rejected: 1\r\n", "");
-  } else if (drawn < 0.6) {
-    co_await answer.respond(500, "", "");
-  } else if (drawn < 0.8) {
-    answer.abort();
+    co_await response.respond(503, "X-Rejected: 1\r\n", "");
+  } else if (failure_draw < 0.6) {
+    co_await response.respond(500, "", "");
+  } else if (failure_draw < 0.8) {
+    response.abort();
   } else {
     co_await loop_.sleep_for(4 * io::kSecond);
-    answer.abort();
+    response.abort();
   }
   send_cue(Moment::after, id);
   co_return true;
 }
 
-io::Task<> SoakWorker::prefill(const std::string& id, http::ResponseWriter& answer) {
+io::Task<> SoakWorker::prefill(const std::string& id, http::ResponseWriter& response) {
   const io::Nanos run_time = random_delay(5, 40);
   co_await loop_.sleep_for(run_time);
-  if (answer.socket().peer_closed()) co_return;  // given up: a cancelled prefill leaves no KV cache
+  if (response.socket().peer_closed())
+    co_return;  // the router gave up: a cancelled prefill leaves no KV cache
   record_event("held", id);
   send_cue(Moment::before, id);
-  co_await answer.respond(202, "X-Load-Report: concurrent=1,x0=0.2\r\n", "{\"cached_tokens\":128}");
+  co_await response.respond(202, "X-Load-Report: concurrent=1,x0=0.2\r\n", "{\"cached_tokens\":128}");
   send_cue(Moment::after, id);
 }
 
-io::Task<> SoakWorker::decode(const std::string& id, http::ResponseWriter& answer) {
+io::Task<> SoakWorker::decode(const std::string& id, http::ResponseWriter& response) {
   const io::Nanos run_time = random_delay(5, 60);
   co_await loop_.sleep_for(run_time);
-  if (answer.socket().peer_closed()) co_return;
+  if (response.socket().peer_closed()) co_return;
   record_event("fetched", id);
   send_cue(Moment::before, id);
-  if (!co_await answer.begin_stream(200, "content-type: text/event-stream\r\n")) co_return;
+  if (!co_await response.begin_stream(200, "content-type: text/event-stream\r\n")) co_return;
   const int events = static_cast<int>(random_delay(2, 12) / io::kMs);
   for (int i = 0; i < events; ++i) {
     Recorder::Line index{{"index", i}};
     record_event("event", id, std::move(index));
     const std::string event =
         fmt::format("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"t{}\"}}}}]}}\n\n", i);
-    if (!co_await answer.write_chunk(event)) co_return;
+    if (!co_await response.write_chunk(event)) co_return;
     if (i == 0) send_cue(Moment::after, id);
-    const io::Nanos step = random_delay(5, 40);
-    co_await loop_.sleep_for(step);
+    const io::Nanos event_interval = random_delay(5, 40);
+    co_await loop_.sleep_for(event_interval);
   }
-  co_await answer.end_stream("data: [DONE]\n\n");
+  co_await response.end_stream("data: [DONE]\n\n");
 }
 
 }  // namespace cressrill::rig::soak
--- a/rig/soak/worker.h
+++ b/rig/soak/worker.h
@@ -1,5 +1,5 @@
-// A stand-in for a worker of the platform, in a process of its own. It serves prefill or decode attempts,
-// fails a share of them, and records what it receives and does for the checker.
+// A stand-in for a worker of the platform, run in a process of its own. It serves prefill or decode attempts,
+// fails a share of them, and records for the checker what it receives and does.
 #pragma once
 
 #include <random>
@@ -13,11 +13,11 @@
 
 struct WorkerOptions {
   std::string name;
-  bool is_prefill{};  // serves prefill attempts, else decode attempts
+  bool is_prefill{};  // false: serves decode attempts
   io::Address address;
   std::uint64_t seed{};
-  io::Address cues;            // where it sends cues about its answers; port 0: nowhere
-  double failure_share{0.06};  // share of the attempts that it rejects, fails, aborts or leaves unanswered
+  io::Address cues;            // where it sends cues about its responses; port 0: nowhere
+  double failure_share{0.06};  // share of the attempts that it rejects, fails, aborts or does not respond to
 };
 
 class SoakWorker {
@@ -25,18 +25,18 @@
   SoakWorker(io::Loop& loop, const WorkerOptions& options, Recorder& record);
 
  private:
-  io::Task<> serve(http::Request& request, http::ResponseWriter& answer);
-  io::Task<> handle_attempt(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
+  io::Task<> serve(http::Request& request, http::ResponseWriter& response);
+  io::Task<> handle_attempt(const std::string& id, std::uint64_t number, http::ResponseWriter& response);
   // Fails the attempt at random; returns whether it did.
-  io::Task<bool> maybe_fail(const std::string& id, std::uint64_t number, http::ResponseWriter& answer);
-  io::Task<> prefill(const std::string& id, http::ResponseWriter& answer);
-  io::Task<> decode(const std::string& id, http::ResponseWriter& answer);
+  io::Task<bool> maybe_fail(const std::string& id, std::uint64_t number, http::ResponseWriter& response);
+  io::Task<> prefill(const std::string& id, http::ResponseWriter& response);
+  io::Task<> decode(const std::string& id, http::ResponseWriter& response);
   double random_fraction() { return std::uniform_real_distribution<double>()(random_); }
   io::Nanos random_delay(int from_ms, int to_ms) {
     return std::uniform_int_distribution<std::int64_t>(from_ms, to_ms)(random_) * io::kMs;
   }
   enum class Moment { before, after };
-  // Notifies the clients that an answer is about to be written, or has just been written.
+  // Notifies the clients that a response is about to be written, or has just been written.
   void send_cue(Moment moment, const std::string& id);
   void record_event(const char* event, const std::string& id,
                     Recorder::Line fields = Recorder::Line::object());
