--- a/programs/explore.cpp
+++ b/programs/explore.cpp
@@ -1,5 +1,5 @@
 // cressrill-explore: searches a model of workers and links for an order of events in which held KV cache is
-// not released in time. Prints the shortest one that was found, or how much was searched.
+// not released in time. Prints the minimized counterexample, or how much was searched.
 #include <fmt/format.h>
 
 #include "command_line.h"
@@ -29,8 +29,8 @@
         fmt::format("all orders of {} events, parallel tries {}", result.depth, parallel ? "on" : "off");
     status = std::max(status, print_result(name, result));
   }
-  return std::max(
-      status, print_result(fmt::format("walks, seed {}", seed), model::search_walks(seed, steps, length)));
+  return std::max(status, print_result(fmt::format("walks, seed {}", seed),
+                                       model::search_random_walks(seed, steps, length)));
 }
 
 }  // namespace
@@ -38,13 +38,16 @@
 int main(int argc, char** argv) {
   CLI::App app("searches for an order of events in which held KV cache is not released in time",
                "cressrill-explore");
-  std::uint64_t seed = 1, steps = 1'000'000, max_states = 200'000;
-  int length = 60, depth = 8;
+  std::uint64_t seed = 1;
+  std::uint64_t steps = 1'000'000;
+  std::uint64_t max_states = 200'000;
+  int length = 60;
+  int depth = 8;
   app.add_option("--seed", seed, "of the random walks");
-  app.add_option("--steps", steps, "of all random walks together");
+  app.add_option("--steps", steps, "number of events of all random walks together");
   app.add_option("--length", length, "of each walk, in events")->check(CLI::Range(1, 1000));
   app.add_option("--depth", depth, "of the breadth-first search, in events")->check(CLI::Range(0, 30));
-  app.add_option("--states", max_states, "upper limit for a breadth-first search");
+  app.add_option("--states", max_states, "maximum number of states of a breadth-first search");
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   return run_guarded("cressrill-explore", [&] { return run(seed, steps, length, depth, max_states); });
 }
--- a/rig/model/hold_explorer.h
+++ b/rig/model/hold_explorer.h
@@ -1,5 +1,5 @@
-// Searches HoldModel for an order of events that breaks the hold rule: breadth first to a given depth, or
-// along seeded random walks. A counterexample is minimized before it is returned.
+// Searches HoldModel for an order of events that breaks the hold rule: breadth first up to a given depth, or by
+// seeded random walks. A counterexample is minimized before it is returned.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 struct SearchResult {
   std::uint64_t states{};  // distinct states in a breadth-first search; steps taken in random walks
-  int depth{};             // the greatest depth that was searched completely
+  int depth{};             // number of events up to which the search was complete; unused in random walks
   std::optional<Counterexample> counterexample;
 };
 
@@ -28,9 +28,9 @@
 SearchResult search_breadth_first(const ModelOptions& options, int depth, std::uint64_t max_states);
 
 // Takes random walks of `length` events, each with its own random options, until `steps` steps are taken.
-SearchResult search_walks(std::uint64_t seed, std::uint64_t steps, int length);
+SearchResult search_random_walks(std::uint64_t seed, std::uint64_t steps, int length);
 
-// Removes events for as long as the remaining ones still break the rule.
+// Removes events as long as the remaining ones still break the rule.
 Counterexample minimized(Counterexample found);
 
 // One line for each event, with the state after it.
--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr Nanos kMs = 1'000'000;
-constexpr Nanos kMaxTransit = 30 * kMs;        // of bytes on a link that passes
-constexpr Nanos kHoldGrace = 300 * kMs;        // allowed past the hold limit before it counts as a breach
+constexpr Nanos kMaxTransitTime = 30 * kMs;    // of bytes on a link that is not silent
+constexpr Nanos kHoldGrace = 300 * kMs;        // by which the hold limit may be exceeded without a breach
 constexpr Nanos kAttemptTimeout = 3000 * kMs;  // the router gives an attempt up after this
-constexpr Nanos kEventSpacing = 1;  // gives chosen events distinct times, which then tell their order
+constexpr Nanos kEventSpacing = 1;             // 1 ns: gives the chosen events distinct times, in their order
 constexpr int kPrefillWorkers = 2;
 constexpr int kDecodeWorkers = 2;
 constexpr std::size_t kMaxAttempts = 5;
@@ -34,22 +34,22 @@
 HoldModel::HoldModel(const ModelOptions& options)
     : options_(options), hold_(options.limit), links_(kPrefillWorkers + kDecodeWorkers) {}
 
-WorkerRef HoldModel::identity(int worker) const {
+WorkerRef HoldModel::worker_ref(int worker) const {
   return {worker, kFirstWorkerIdentity + static_cast<std::uint64_t>(worker)};
 }
 
 // Possible events.
 
-std::vector<Event> HoldModel::possible() const {
-  std::vector<Event> events = possible_of_router();
-  for (std::size_t i = 0; i < attempts_.size(); ++i) possible_of_attempt(static_cast<int>(i), events);
-  for (std::size_t i = 0; i < links_.size(); ++i) possible_of_link(static_cast<int>(i), events);
+std::vector<Event> HoldModel::possible_events() const {
+  std::vector<Event> events = possible_router_events();
+  for (std::size_t i = 0; i < attempts_.size(); ++i) add_possible_attempt_events(static_cast<int>(i), events);
+  for (std::size_t i = 0; i < links_.size(); ++i) add_possible_link_events(static_cast<int>(i), events);
   for (const int divisor : {20, 4, 2, 1})
-    events.push_back({.type = EventType::time_passes, .value = options_.limit / divisor});
+    events.push_back({.type = EventType::time_passes, .duration = options_.limit / divisor});
   return events;
 }
 
-std::vector<Event> HoldModel::possible_of_router() const {
+std::vector<Event> HoldModel::possible_router_events() const {
   std::vector<Event> events;
   if (release_.in_flight)
     events.push_back({release_.arrived ? EventType::release_confirmed : EventType::release_arrives});
@@ -59,11 +59,12 @@
       return attempt.in_flight && attempt.is_prefill == is_prefill;
     });
   };
-  const bool may_write = attempts_.size() < kMaxAttempts && !answer_started_;
+  const bool may_write = attempts_.size() < kMaxAttempts && !final_response_started_;
   if (may_write && (!has_in_flight(true) || options_.parallel) && hold_.state() != HoldState::held)
     for (int worker = 0; worker < kPrefillWorkers; ++worker)
-      for (const Nanos runs_for : {Nanos{0}, options_.limit / 2})
-        events.push_back({.type = EventType::prefill_written, .worker = worker, .value = runs_for});
+      for (const Nanos expected_run_time : {Nanos{0}, options_.limit / 2})
+        events.push_back(
+            {.type = EventType::prefill_written, .worker = worker, .duration = expected_run_time});
   if (may_write && (!has_in_flight(false) || options_.parallel) && hold_.state() == HoldState::held)
     for (int worker = kPrefillWorkers; worker < kPrefillWorkers + kDecodeWorkers; ++worker)
       events.push_back({.type = EventType::decode_written, .worker = worker});
@@ -72,17 +73,17 @@
   return events;
 }
 
-void HoldModel::possible_of_attempt(int attempt_index, std::vector<Event>& events) const {
+void HoldModel::add_possible_attempt_events(int attempt_index, std::vector<Event>& events) const {
   const Attempt& attempt = attempts_[static_cast<std::size_t>(attempt_index)];
   const auto add = [&](EventType type) { events.push_back({.type = type, .attempt = attempt_index}); };
   if (!link(attempt).silent && !attempt.silent) {
     if (!attempt.arrived()) add(EventType::request_arrives);
-    if (attempt.answer != Answer::none && !attempt.answer_received && attempt.in_flight)
+    if (attempt.response != Response::none && !attempt.response_received && attempt.in_flight)
       add(EventType::answer_arrives);
     if (attempt.at_worker() && attempt.given_up_at != kNever) add(EventType::close_arrives);
   }
   if (attempt.at_worker() && attempt.is_prefill) {
-    if (now_ - attempt.arrived_at >= attempt.runs_for) {
+    if (now_ - attempt.arrived_at >= attempt.expected_run_time) {
       add(EventType::prefill_ends);
       add(EventType::prefill_fails);
     }
@@ -101,13 +102,13 @@
   if (!attempt.silent && (attempt.in_flight || attempt.at_worker())) add(EventType::connection_falls_silent);
 }
 
-void HoldModel::possible_of_link(int worker, std::vector<Event>& events) const {
+void HoldModel::add_possible_link_events(int worker, std::vector<Event>& events) const {
   const Link& link_to_worker = links_[static_cast<std::size_t>(worker)];
-  const Nanos caught_up = link_to_worker.passing_since +
-                          (link_to_worker.passing_since - link_to_worker.silent_since) + kMaxTransit;
+  const Nanos caught_up = link_to_worker.recovered_at +
+                          (link_to_worker.recovered_at - link_to_worker.silent_since) + kMaxTransitTime;
   if (link_to_worker.silent)
     events.push_back({.type = EventType::link_passes, .worker = worker});
-  else if (link_to_worker.passing_since == 0 || now_ >= caught_up)
+  else if (link_to_worker.recovered_at == 0 || now_ >= caught_up)
     events.push_back({.type = EventType::link_falls_silent, .worker = worker});
   const bool has_given_up_attempt = std::ranges::any_of(attempts_, [worker](const Attempt& attempt) {
     return attempt.worker == worker && attempt.given_up_at != kNever;
@@ -122,7 +123,7 @@
   now_ += kEventSpacing;
   switch (event.type) {
     case EventType::time_passes:
-      advance_until(now_ + event.value);
+      advance_until(now_ + event.duration);
       break;
     case EventType::prefill_written:
     case EventType::decode_written:
@@ -133,11 +134,11 @@
       break;
     case EventType::link_passes: {
       Link& link_to_worker = links_[static_cast<std::size_t>(event.worker)];
-      link_to_worker = {.silent = false, .silent_since = link_to_worker.silent_since, .passing_since = now_};
+      link_to_worker = {.silent = false, .silent_since = link_to_worker.silent_since, .recovered_at = now_};
       break;
     }
     case EventType::worker_answers:
-      hold_.worker_answered({identity(event.worker).identity, now_, now_});
+      hold_.worker_answered({worker_ref(event.worker).identity, now_, now_});
       break;
     case EventType::release_wanted:
       record(HoldEvent::release_wanted);
@@ -166,13 +167,13 @@
       break;
     default: {
       Attempt& attempt = attempts_[static_cast<std::size_t>(event.attempt)];
-      if (event.type == EventType::prefill_ends) send_answer(attempt, Answer::done);
-      if (event.type == EventType::prefill_fails) send_answer(attempt, Answer::failed);
-      if (event.type == EventType::prefill_refused) send_answer(attempt, Answer::refused);
+      if (event.type == EventType::prefill_ends) send_response(attempt, Response::done);
+      if (event.type == EventType::prefill_fails) send_response(attempt, Response::failed);
+      if (event.type == EventType::prefill_refused) send_response(attempt, Response::refused);
       if (event.type == EventType::decode_starts)
-        send_answer(attempt, held_ ? Answer::started : Answer::kv_missing);
-      if (event.type == EventType::decode_refused) send_answer(attempt, Answer::refused);
-      if (event.type == EventType::decode_breaks) send_answer(attempt, Answer::broken);
+        send_response(attempt, held_ ? Response::started : Response::kv_missing);
+      if (event.type == EventType::decode_refused) send_response(attempt, Response::refused);
+      if (event.type == EventType::decode_breaks) send_response(attempt, Response::broken);
       if (event.type == EventType::stream_ends || event.type == EventType::close_arrives)
         end_at_worker(attempt);
     }
@@ -182,10 +183,12 @@
 }
 
 void HoldModel::write_attempt(bool is_prefill, const Event& event) {
-  attempts_.push_back(
-      {.worker = event.worker, .is_prefill = is_prefill, .written_at = now_, .runs_for = event.value});
+  attempts_.push_back({.worker = event.worker,
+                       .is_prefill = is_prefill,
+                       .written_at = now_,
+                       .expected_run_time = event.duration});
   record_attempt(is_prefill ? HoldEvent::prefill_written : HoldEvent::decode_written,
-                 static_cast<int>(attempts_.size()) - 1, event.value);
+                 static_cast<int>(attempts_.size()) - 1, event.duration);
 }
 
 void HoldModel::request_arrives(int attempt_index) {
@@ -195,18 +198,18 @@
 }
 
 // The worker sends its answer, which ends the attempt there unless it is the start of a stream.
-void HoldModel::send_answer(Attempt& attempt, Answer answer) {
-  attempt.answer = answer;
-  attempt.answer_sent_at = now_;
-  if (answer == Answer::started) {
-    marks_.push_back({KvAction::Kind::taken, now_, attempt.worker});
+void HoldModel::send_response(Attempt& attempt, Response response) {
+  attempt.response = response;
+  attempt.response_sent_at = now_;
+  if (response == Response::started) {
+    kv_actions_.push_back({KvAction::Kind::taken, now_, attempt.worker});
     attempt.has_taken_kv = true;
     held_ = false;
     return;
   }
-  if (answer == Answer::done || answer == Answer::failed) {
-    marks_.push_back({KvAction::Kind::held, now_, attempt.worker});
-    held_ = held_ || !attempt.voided;
+  if (response == Response::done || response == Response::failed) {
+    kv_actions_.push_back({KvAction::Kind::held, now_, attempt.worker});
+    held_ = held_ || !attempt.released_while_running;
   }
   end_at_worker(attempt);
 }
@@ -215,21 +218,21 @@
 
 void HoldModel::answer_arrives(int attempt_index) {
   Attempt& attempt = attempts_[static_cast<std::size_t>(attempt_index)];
-  attempt.answer_received = true;
-  if (attempt.answer == Answer::started) {
-    answer_started_ = true;
+  attempt.response_received = true;
+  if (attempt.response == Response::started) {
+    final_response_started_ = true;
     return record_attempt(HoldEvent::decode_begun, attempt_index);
   }
   attempt.in_flight = false;
-  switch (attempt.answer) {
-    case Answer::done:
+  switch (attempt.response) {
+    case Response::done:
       return record_attempt(HoldEvent::prefill_done, attempt_index);
-    case Answer::failed:
+    case Response::failed:
       return record_attempt(HoldEvent::prefill_failed, attempt_index);
-    case Answer::refused:
+    case Response::refused:
       return record_attempt(attempt.is_prefill ? HoldEvent::prefill_refused : HoldEvent::decode_answered,
                             attempt_index);
-    case Answer::kv_missing:
+    case Response::kv_missing:
       return record_attempt(HoldEvent::cache_missing, attempt_index);
     default:
       return record_attempt(HoldEvent::decode_lost, attempt_index);
@@ -240,22 +243,23 @@
   Attempt& attempt = attempts_[static_cast<std::size_t>(attempt_index)];
   attempt.in_flight = false;
   attempt.given_up_at = now_;
-  const bool is_streaming = attempt.answer == Answer::started && attempt.answer_received;
+  const bool is_streaming = attempt.response == Response::started && attempt.response_received;
   if (!is_streaming)
     record_attempt(attempt.is_prefill ? HoldEvent::prefill_lost : HoldEvent::decode_lost, attempt_index);
 }
 
-// A release arrives at the reachable worker. A prefill that is running leaves no KV cache then. KV cache that
-// a decode attempt waits for is not freed.
+// A release arrives at the reachable worker. It also makes running prefills leave no KV cache. KV cache that a
+// decode attempt waits for is not freed.
 void HoldModel::release_arrives() {
   release_.arrived = true;
   release_.arrived_at = now_;
-  marks_.push_back({KvAction::Kind::released, now_, -1});
-  const bool awaited = std::ranges::any_of(attempts_, [](const Attempt& attempt) {
+  kv_actions_.push_back({KvAction::Kind::released, now_, -1});
+  const bool awaited_by_decode = std::ranges::any_of(attempts_, [](const Attempt& attempt) {
     return !attempt.is_prefill && attempt.at_worker() && !attempt.has_taken_kv;
   });
-  if (!awaited) held_ = false;
-  for (Attempt& attempt : attempts_) attempt.voided |= attempt.is_prefill && attempt.at_worker();
+  if (!awaited_by_decode) held_ = false;
+  for (Attempt& attempt : attempts_)
+    attempt.released_while_running |= attempt.is_prefill && attempt.at_worker();
 }
 
 void HoldModel::release_confirmed() {
@@ -263,15 +267,17 @@
   if (hold_.state() == HoldState::releasing) hold_.release_confirmed(release_.written_at);
 }
 
-// The router reports what it observes to KvHold, and calls for releases as KvReleaser does.
+// The router: it reports to KvHold what it observes, and starts releases as KvReleaser does.
 void HoldModel::record(HoldEvent event) {
-  if (!hold_.record(event, now_)) fail(fmt::format("KvHold rejected {}", cressrill::to_string(event)));
+  if (!hold_.record(event, now_))
+    report_breach(fmt::format("KvHold rejected {}", cressrill::to_string(event)));
 }
 
-void HoldModel::record_attempt(HoldEvent event, int attempt_index, Nanos runs_for) {
+void HoldModel::record_attempt(HoldEvent event, int attempt_index, Nanos expected_run_time) {
   const Attempt& attempt = attempts_[static_cast<std::size_t>(attempt_index)];
-  if (!hold_.record_attempt(event, now_, attempt_index, identity(attempt.worker), runs_for))
-    fail(fmt::format("KvHold rejected {} of attempt {}", cressrill::to_string(event), attempt_index));
+  if (!hold_.record_attempt(event, now_, attempt_index, worker_ref(attempt.worker), expected_run_time))
+    report_breach(
+        fmt::format("KvHold rejected {} of attempt {}", cressrill::to_string(event), attempt_index));
 }
 
 void HoldModel::start_due_release() {
@@ -281,28 +287,28 @@
   release_ = {.in_flight = true, .written_at = now_};
 }
 
-// Time. On a link that passes, bytes in transit arrive within kMaxTransit.
+// Simulated time. Events that are due by then occur without being chosen.
 
 Nanos HoldModel::arrives_by(const Attempt& attempt, Nanos sent_at) const {
   const Link& link_to_worker = link(attempt);
   if (link_to_worker.silent || attempt.silent) return kNever;
   const Nanos time_on_silent_link =
-      std::max<Nanos>(link_to_worker.passing_since - std::max(link_to_worker.silent_since, sent_at), 0);
-  return std::max(sent_at, link_to_worker.passing_since) + std::max(time_on_silent_link, kMaxTransit);
+      std::max<Nanos>(link_to_worker.recovered_at - std::max(link_to_worker.silent_since, sent_at), 0);
+  return std::max(sent_at, link_to_worker.recovered_at) + std::max(time_on_silent_link, kMaxTransitTime);
 }
 
 Nanos HoldModel::next_due() const {
   Nanos due = kNever;
   for (const Attempt& attempt : attempts_) {
     if (!attempt.arrived()) due = std::min(due, arrives_by(attempt, attempt.written_at));
-    if (attempt.in_flight && attempt.answer != Answer::none && !attempt.answer_received)
-      due = std::min(due, arrives_by(attempt, attempt.answer_sent_at));
+    if (attempt.in_flight && attempt.response != Response::none && !attempt.response_received)
+      due = std::min(due, arrives_by(attempt, attempt.response_sent_at));
     if (attempt.at_worker() && attempt.given_up_at != kNever)
       due = std::min(due, arrives_by(attempt, attempt.given_up_at));
     if (attempt.in_flight) due = std::min(due, attempt.written_at + kAttemptTimeout);
   }
   if (release_.in_flight)
-    due = std::min(due, (release_.arrived ? release_.arrived_at : release_.written_at) + kMaxTransit);
+    due = std::min(due, (release_.arrived ? release_.arrived_at : release_.written_at) + kMaxTransitTime);
   const bool release_pending = hold_.state() == HoldState::releasing && release_.in_flight;
   return release_pending ? due : std::min(due, hold_.release_due());
 }
@@ -312,7 +318,7 @@
   for (int i = 0; !breach_; ++i) {
     const Nanos next = next_due();
     if (next > until) break;
-    if (i > kMaxDueSteps) return fail("too many due events in one step: possible endless loop");
+    if (i > kMaxDueSteps) return report_breach("too many due events in one step: possible endless loop");
     now_ = std::max(now_, next);
     apply_due_events();
     start_due_release();
@@ -324,16 +330,17 @@
 void HoldModel::apply_due_events() {
   for (std::size_t i = 0; i < attempts_.size(); ++i) apply_due_events_of(static_cast<int>(i));
   if (!release_.in_flight) return;
-  if (!release_.arrived && release_.written_at + kMaxTransit <= now_) return release_arrives();
-  if (release_.arrived && release_.arrived_at + kMaxTransit <= now_) release_confirmed();
+  if (!release_.arrived && release_.written_at + kMaxTransitTime <= now_) return release_arrives();
+  if (release_.arrived && release_.arrived_at + kMaxTransitTime <= now_) release_confirmed();
 }
 
 void HoldModel::apply_due_events_of(int attempt_index) {
   Attempt& attempt = attempts_[static_cast<std::size_t>(attempt_index)];
   if (!attempt.arrived() && arrives_by(attempt, attempt.written_at) <= now_) request_arrives(attempt_index);
-  const bool answer_under_way =
-      attempt.in_flight && attempt.answer != Answer::none && !attempt.answer_received;
-  if (answer_under_way && arrives_by(attempt, attempt.answer_sent_at) <= now_) answer_arrives(attempt_index);
+  const bool response_in_transit =
+      attempt.in_flight && attempt.response != Response::none && !attempt.response_received;
+  if (response_in_transit && arrives_by(attempt, attempt.response_sent_at) <= now_)
+    answer_arrives(attempt_index);
   if (attempt.at_worker() && attempt.given_up_at != kNever &&
       arrives_by(attempt, attempt.given_up_at) <= now_)
     end_at_worker(attempt);
@@ -342,7 +349,7 @@
 
 // The hold rule.
 
-void HoldModel::fail(std::string breach) {
+void HoldModel::report_breach(std::string breach) {
   if (!breach_) breach_ = std::move(breach);
 }
 
@@ -352,10 +359,10 @@
     if (attempt.arrived())
       spans.push_back({attempt.arrived_at, attempt.ended_at, attempt.worker, attempt.is_prefill});
   std::ranges::sort(spans, {}, &AttemptSpan::arrived_at);
-  for (const HeldSpan& span : held_spans(spans, marks_, now_))
+  for (const HeldSpan& span : held_spans(spans, kv_actions_, now_))
     if (span.unattended > options_.limit + kHoldGrace)
-      fail(fmt::format("held for {} ms where {} are allowed", span.unattended / kMs,
-                       (options_.limit + kHoldGrace) / kMs));
+      report_breach(fmt::format("held for {} ms where {} are allowed", span.unattended / kMs,
+                                (options_.limit + kHoldGrace) / kMs));
 }
 
 std::string HoldModel::describe() const {
@@ -377,11 +384,11 @@
     add(attempt.arrived_at);
     add(attempt.ended_at);
     add(attempt.written_at);
-    add(static_cast<int>(attempt.answer) * 8 + attempt.in_flight * 4 + attempt.answer_received * 2 +
-        attempt.voided + attempt.silent * 128);
+    add(static_cast<int>(attempt.response) * 8 + attempt.in_flight * 4 + attempt.response_received * 2 +
+        attempt.released_while_running + attempt.silent * 128);
   }
-  for (const Link& link : links_) add(link.silent ? link.silent_since + 1 : -link.passing_since);
-  for (const KvAction& mark : marks_) add(mark.at * 3 + static_cast<int>(mark.kind));
+  for (const Link& link : links_) add(link.silent ? link.silent_since + 1 : -link.recovered_at);
+  for (const KvAction& action : kv_actions_) add(action.at * 3 + static_cast<int>(action.kind));
   add(release_.in_flight * 4 + release_.arrived * 2 + request_over_);
   return result;
 }
