--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,5 +1,5 @@
 // Test fixture for the platform protocol: one router node with fake workers, a fake discovery agent and
-// clients, all in one process, over loopback and on simulated time. The fakes are written from the
+// clients, all in one process, over loopback and in simulated time. The fakes are written from the
 // description of the protocol.
 #pragma once
 
@@ -19,17 +19,18 @@
 using io::kMs;
 using nlohmann::json;
 
-// How a fake worker answers one request, in place of its default response.
+// How a fake worker responds to one request, in place of its default response.
 struct ScriptedResponse {
-  // What the worker does after `response` is sent. hang: the attempt goes on and its connection stays open.
-  // end_silently: the attempt ends at the worker, yet its connection stays open, so the router does not
-  // notice; a `late_response` was already on its way by then.
+  // What the worker does after `response` is sent. hang: the attempt stays active and its connection open.
+  // end_silently: the attempt ends at the worker but its connection stays open, so the router does not
+  // notice; a `late_response` counts as sent before that end.
   enum class Finish { keep_alive, close, reset, hang, end_silently };
   std::string response;  // raw bytes
   Finish finish{Finish::keep_alive};
-  io::Nanos delay{};   // before the response
-  bool use_default{};  // default response after `delay`; beside it only leaves_kv_on_disconnect applies
-  bool leaves_kv{};    // stores the request's KV cache at this worker before the response
+  io::Nanos delay{};  // before the response
+  bool
+      use_default{};  // default response after `delay`; of the other fields only leaves_kv_on_disconnect applies
+  bool leaves_kv{};                // stores the request's KV cache at this worker before the response
   std::string late_response{};     // more raw bytes, sent `late_delay` after `response`
   io::Nanos late_delay{50 * kMs};  // ignored while `late_response` is empty
   bool takes_kv{};                 // fetches the request's KV cache before the response
@@ -52,7 +53,7 @@
   struct AttemptStatus {
     int active{};               // attempts that are active at running workers
     io::Nanos last_active{-1};  // when an attempt last arrived at or ended at a worker
-    bool end_not_heard{};       // a prefill ended, its response was lost, and its connection stayed open
+    bool end_not_heard{};       // a prefill ended, but its response was lost and its connection stayed open
   };
   std::map<std::string, AttemptStatus> attempts;
   std::function<void(const std::string&)> on_event;  // receives one line for each event at a worker
@@ -88,13 +89,13 @@
   std::vector<std::string> request_log;     // one line for each complete request, releases included
   std::vector<std::string> request_bodies;  // without releases
   std::vector<std::string> request_fields;  // header fields, one a line; without releases
-  int open_requests{};                      // complete requests that are neither answered nor disconnected
+  int open_requests{};                      // complete requests whose response and connection have not ended
   int accepted_connections{};
   bool unresponsive{};      // reads requests and never acts on them
-  bool ignores_releases{};  // neither frees the KV cache nor answers
+  bool ignores_releases{};  // neither frees the KV cache nor responds
   io::Nanos release_response_delay{};
-  // A silent link delays responses and connection closes as well as requests, and an attempt ends when the
-  // close of its connection reaches the worker. Otherwise a silent link delays requests alone.
+  // If true, a silent link also delays responses and connection closes, and an attempt ends when the close of
+  // its connection reaches the worker. If false, a silent link delays requests only.
   bool silent_both_ways{};
   std::string responding_to;              // request id, valid while before_response and after_response run
   std::function<void()> before_response;  // called just before a response, or its first part, is written
@@ -121,9 +122,9 @@
       scope_.spawn(serve(std::move(socket), accepted_connections));
     }
   }
-  // Counts a request in open_requests until it is answered or its peer disconnects.
+  // Counts a request in open_requests until its response ends or its peer disconnects.
   struct OpenCount {
-    explicit OpenCount(int& n) : count(n) { ++count; }
+    explicit OpenCount(int& open_count) : count(open_count) { ++count; }
     ~OpenCount() { end(); }
     void end() {
       if (std::exchange(counted, false)) --count;
@@ -131,7 +132,7 @@
     int& count;
     bool counted{true};
   };
-  // Marks a decode attempt as waiting for the KV cache of its request; no effect for an empty id.
+  // Marks a decode attempt as waiting for the KV cache of its request. Has no effect for an empty id.
   struct KvWait {
     KvWait(KvEntries& entries, std::string request_id) : kv_entries(entries), id(std::move(request_id)) {
       if (!id.empty()) kv_entries.awaited_by_decode.insert(id);
@@ -286,7 +287,7 @@
     kv_entries_[id] = name;
     kv_entries_.report(fmt::format("{}: holds KV cache of {}", name, id));
   }
-  // False where no KV cache of that request is held.
+  // Returns false if no KV cache of that request is held.
   bool take_kv(const std::string& id) {
     if (kv_entries_.erase(id) == 0) return false;
     kv_entries_.report(fmt::format("{}: takes KV cache of {}", name, id));
@@ -349,7 +350,7 @@
   io::Scope scope_;
 };
 
-// A fake discovery agent: serves the full worker list, and watches that wait for a newer revision.
+// A fake discovery agent: it serves the full list of workers, and watches: calls that wait for a newer revision.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(io::Loop& loop) : loop_(loop), changed_(loop), address_(kAnyPort) {
@@ -357,7 +358,7 @@
     address_ = server_->address();
   }
   const io::Address& address() const { return address_; }
-  // Adds, replaces or removes that target, and answers the watches that wait.
+  // Adds, replaces or removes that target, and responds to the pending watches.
   void update(const json& target) {
     std::erase_if(targets_, [&](const json& listed) { return listed["uid"] == target["uid"]; });
     if (target["state"] != "removed") targets_.push_back(target);
@@ -365,27 +366,27 @@
     if (changes_.size() > 1000) changes_.erase(changes_.begin(), changes_.begin() + 500);
     changed_.notify();
   }
-  // Calls that are open now never get an answer.
+  // Calls that are open now never get a response.
   void abandon_open_calls() { ++call_generation_; }
   // Resets the open calls and refuses new ones.
   void close() { server_.reset(); }
   void open() {
-    server_.emplace(loop_, address_, [this](http::Request& request, http::ResponseWriter& writer) {
-      return answer(std::string(request.head.target), writer);
+    server_.emplace(loop_, address_, [this](http::Request& request, http::ResponseWriter& response) {
+      return serve(std::string(request.head.target), response);
     });
   }
   std::size_t full_list_calls() const {
     return static_cast<std::size_t>(std::ranges::count(calls, "/discovery/hosts"));
   }
   std::uint64_t rev{40};
-  bool unresponsive{};  // new calls never get an answer
+  bool unresponsive{};  // new calls never get a response
   io::Nanos response_delay{};
   bool pretty_print{};
-  bool always_full_list{};         // watches get the full list too, in place of the changes
+  bool always_full_list{};         // watches get the full list in place of the changes
   std::vector<std::string> calls;  // request target of each call
 
  private:
-  io::Task<> answer(std::string target, http::ResponseWriter& writer) {
+  io::Task<> serve(std::string target, http::ResponseWriter& response) {
     calls.push_back(target);
     const int generation = call_generation_;
     if (unresponsive) co_await loop_.sleep_for(600 * io::kSecond);
@@ -404,7 +405,7 @@
             .dump(pretty_print ? 2 : -1);
     if (response_delay > 0) co_await loop_.sleep_for(response_delay);
     if (generation != call_generation_) co_await loop_.sleep_for(600 * io::kSecond);
-    co_await writer.respond(200, "", text);
+    co_await response.respond(200, "", text);
   }
   io::Loop& loop_;
   io::Signal changed_;
@@ -415,7 +416,7 @@
   std::optional<http::Server> server_;
 };
 
-// The settings that the platform hands to a node, in small: two zones, one traffic type, one tenant.
+// Minimal settings of a node, as the platform sends them: two zones, one traffic type, one tenant.
 inline json test_settings() {
   return json::parse(R"({"azs":["east","west"],"models":["prefill","decode"],"instances":1,"locality":0,
     "granularityMs":2.0,"discovery":"automatic",
@@ -435,14 +436,13 @@
   int status{};
   std::string fields;
   std::string body;
-  bool complete{};           // received to the end of its HTTP framing
+  bool complete{};           // received up to the end of its HTTP framing
   bool connection_closed{};  // the router closed the connection
   io::Nanos elapsed{};       // from the connect to the last byte
   io::Nanos last_byte_at{};  // loop time
 };
 
-// A running router node with its workers, discovery agent and clients. Members are public for tests to
-// change.
+// A running router node with its workers, discovery agent and clients. Tests change its public members.
 class PlatformFixture {
  public:
   explicit PlatformFixture(int prefills = 2, int decodes = 2, const json& settings = test_settings(),
@@ -483,8 +483,8 @@
             {"capacity_hint", 1.0}, {"boot_ms", 0}};
   }
   FakeWorker& worker(const std::string& name) {
-    for (auto& w : workers)
-      if (w->name == name) return *w;
+    for (auto& fake_worker : workers)
+      if (fake_worker->name == name) return *fake_worker;
     throw std::invalid_argument(name);
   }
   void run_for(std::int64_t ms) { testing::run_for(loop, ms); }
@@ -505,7 +505,7 @@
                 {"messages", {{{"role", "user"}, {"content", text}}}}}
         .dump();
   }
-  // A complete request with the call header fields of the platform protocol; budget in milliseconds.
+  // A complete request with the header fields of the platform protocol; budget in milliseconds.
   static std::string request(const std::string& id, const std::string& body = request_body(),
                              const std::string& budget = "4800") {
     return request_with({{"X-Call-Id", id},
@@ -524,9 +524,9 @@
     return out.append(fmt::format("Content-Length: {}\r\n\r\n", body.size())).append(body);
   }
 
-  // Sends `text` on a new connection and returns at once. Each response is appended to responses[name] as it
-  // ends, and the last one is put into last_responses[name] in the end. Reads `count` responses; closes after
-  // `leave_after`, if not 0.
+  // Sends `text` on a new connection and returns at once. Reads `count` responses: each is appended to
+  // responses[name] when it ends, and the last one is then stored in last_responses[name]. Closes the
+  // connection after `leave_after`, if that is not 0.
   void send(const std::string& name, std::string text, io::Nanos leave_after = 0, std::size_t count = 1) {
     scope.spawn(send_and_receive(name, std::move(text), leave_after, count));
   }
@@ -558,8 +558,8 @@
   // Requests at all workers whose request_log line starts with `prefix`.
   std::size_t count_requests(const std::string& prefix) const {
     std::size_t count = 0;
-    for (const auto& w : workers)
-      for (const std::string& line : w->request_log) count += line.starts_with(prefix);
+    for (const auto& fake_worker : workers)
+      for (const std::string& line : fake_worker->request_log) count += line.starts_with(prefix);
     return count;
   }
 
@@ -586,9 +586,9 @@
     co_await socket.write_all(text);
     io::Scope leaver(loop);
     if (leave_after > 0)
-      leaver.spawn([](io::Loop& l, io::Nanos span, io::Socket& s) -> io::Task<> {
-        co_await l.sleep_for(span);
-        s.close();
+      leaver.spawn([](io::Loop& event_loop, io::Nanos delay, io::Socket& client_socket) -> io::Task<> {
+        co_await event_loop.sleep_for(delay);
+        client_socket.close();
       }(loop, leave_after, socket));
     for (std::size_t i = 0; i < count; ++i) {
       received = {};
@@ -610,11 +610,11 @@
       if (!received.complete) break;
     }
     if (received.complete && leave_after == 0) {  // checks whether the router closes the connection by itself
-      const auto closed =
-          co_await io::with_deadline(loop, loop.now() + 1500 * kMs, [](io::Socket& s) -> io::Task<bool> {
-            co_await s.wait_for_peer_close();
-            co_return true;
-          }(socket));
+      const auto closed = co_await io::with_deadline(loop, loop.now() + 1500 * kMs,
+                                                     [](io::Socket& client_socket) -> io::Task<bool> {
+                                                       co_await client_socket.wait_for_peer_close();
+                                                       co_return true;
+                                                     }(socket));
       received.connection_closed = closed.has_value();
     }
     leaver.cancel();
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -1,6 +1,6 @@
 // Connections on plain non-blocking sockets, outside the event loop: each step happens exactly where the test
-// calls it, between two calls of run_for(), so that a test controls the order in which data and connection
-// ends cross.
+// calls it, between two calls of run_for(), so that a test controls the order of data and closes from both
+// sides.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,7 +28,7 @@
   return out;
 }
 
-// Whether text is one response with status 200 and a complete chunked body.
+// Whether `text` starts as a response with status 200 and ends with a last chunk.
 inline bool is_complete_stream(std::string_view text) {
   return text.starts_with("HTTP/1.1 200") && text.ends_with("0\r\n\r\n");
 }
@@ -45,20 +45,20 @@
 
   // Returns how many bytes the kernel accepted.
   std::size_t write(std::string_view text) {
-    const ssize_t n = ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL);
-    return n < 0 ? 0 : static_cast<std::size_t>(n);
+    const ssize_t sent = ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL);
+    return sent < 0 ? 0 : static_cast<std::size_t>(sent);
   }
   // Reads the received data, at most max_bytes, and appends it to text().
   void read(std::size_t max_bytes = SIZE_MAX) {
     std::array<char, 16 * 1024> buffer;
     while (max_bytes > 0) {
-      const ssize_t n = ::recv(descriptor_, buffer.data(), std::min(buffer.size(), max_bytes), 0);
-      if (n < 0 && errno == EINTR) continue;
-      if (n == 0) ended_ = true;
-      if (n < 0 && errno != EAGAIN) reset_ = true;
-      if (n <= 0) return;
-      text_.append(buffer.data(), static_cast<std::size_t>(n));
-      max_bytes -= static_cast<std::size_t>(n);
+      const ssize_t received = ::recv(descriptor_, buffer.data(), std::min(buffer.size(), max_bytes), 0);
+      if (received < 0 && errno == EINTR) continue;
+      if (received == 0) ended_ = true;
+      if (received < 0 && errno != EAGAIN) reset_ = true;
+      if (received <= 0) return;
+      text_.append(buffer.data(), static_cast<std::size_t>(received));
+      max_bytes -= static_cast<std::size_t>(received);
     }
   }
   const std::string& text() const { return text_; }
--- a/tests/router_process.h
+++ b/tests/router_process.h
@@ -1,4 +1,4 @@
-// Test fixture that runs the router program as a child process over loopback, on real time, with fake workers
+// Test fixture that runs the router program as a child process over loopback, in real time, with fake workers
 // and a fake discovery agent in the test's own process. Tests wait for conditions, with a timeout that only a
 // hung program reaches.
 #pragma once
@@ -24,7 +24,8 @@
         decode_worker(loop, "writer-0", false, kv_entries),
         discovery(loop),
         config_path(fmt::format("/tmp/cressrill-program-{}-{}", ::getpid(), static_cast<const void*>(this))) {
-    for (FakeWorker* w : {&prefill_worker, &decode_worker}) discovery.update(PlatformFixture::target(*w));
+    for (FakeWorker* worker : {&prefill_worker, &decode_worker})
+      discovery.update(PlatformFixture::target(*worker));
     {
       io::Listener free_port(loop, kAnyPort);
       address = free_port.address();
@@ -56,8 +57,8 @@
   // Runs until `done` holds, for at most 20 s; returns whether it holds.
   bool run_until(const std::function<bool()>& done) {
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l) -> io::Task<> {
-      for (;;) co_await l.sleep_for(5 * kMs);
+    scope.spawn([](io::Loop& event_loop) -> io::Task<> {
+      for (;;) co_await event_loop.sleep_for(5 * kMs);
     }(loop));
     const io::Nanos deadline = loop.now() + 20 * io::kSecond;
     loop.run_until([&] { return done() || loop.now() > deadline; });
@@ -67,20 +68,21 @@
     std::ifstream log(log_path());
     return std::string(std::istreambuf_iterator<char>(log), {});
   }
-  // Sends one request on a new connection; status 0 where there was no response.
+  // Sends one request on a new connection. The status of the result is 0 if there was no response.
   http::ExchangeResult send(const std::string& text) {
     http::ExchangeResult result;
     bool finished = false;
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l, io::Address to, std::string request, http::ExchangeResult& response,
-                   bool& done) -> io::Task<> {
-      response = co_await http::exchange(std::make_shared<http::Pool>(l, to), std::move(request));
+    scope.spawn([](io::Loop& event_loop, io::Address server, std::string request,
+                   http::ExchangeResult& response, bool& done) -> io::Task<> {
+      response =
+          co_await http::exchange(std::make_shared<http::Pool>(event_loop, server), std::move(request));
       done = true;
     }(loop, address, text, result, finished));
     run_until([&] { return finished; });
     return result;
   }
-  // Status of GET /up; 0 where there was no response.
+  // Status of GET /up; 0 if there was no response.
   int up_status() { return send(http::format_request("GET", "/up", "h", "", "")).head.status; }
   bool wait_until_ready() {
     return run_until([&] { return up_status() == 200; });
@@ -88,7 +90,8 @@
 
   io::Loop loop;
   KvEntries kv_entries;
-  FakeWorker prefill_worker, decode_worker;
+  FakeWorker prefill_worker;
+  FakeWorker decode_worker;
   FakeDiscovery discovery;
   io::Address address;
   json config;
