--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the platform protocol: its parsers, then the complete request path on loopback with scripted
-// workers, discovery and clients, in which each failure is produced on simulated time.
+// workers, discovery and clients, where each failure is produced in simulated time.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <csignal>
 #include <cstdio>
@@ -20,8 +20,9 @@
   return out + FakeWorker::stream_end();
 }
 std::string stream_start();
-ScriptedResponse broken_stream(std::string later, io::Nanos behind = 50 * kMs) {
-  return {stream_start(), ScriptedResponse::Finish::hang, 0, false, false, std::move(later), behind};
+// Sends the start of a stream, then `late_data` after `late_delay`, and then no more data.
+ScriptedResponse broken_stream(std::string late_data, io::Nanos late_delay = 50 * kMs) {
+  return {stream_start(), ScriptedResponse::Finish::hang, 0, false, false, std::move(late_data), late_delay};
 }
 std::string stream_start() { return FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0)); }
 
@@ -44,7 +45,7 @@
                      {"limits", {{"memory_mb", 64}, {"sockets", 256}}},
                      {"settings", test_settings()}};
   CHECK(platform::read_node_config(good.dump()).seed == 0x8c1f);
-  const auto why = [&](const std::function<void(json&)>& change) {
+  const auto error_after = [&](const std::function<void(json&)>& change) {
     json bad = good;
     change(bad);
     try {
@@ -54,27 +55,28 @@
     }
     return std::string("taken");
   };
-  CHECK(why([](json& j) { j.erase("listen"); }) == "configuration: 'listen' is missing");
-  CHECK(why([](json& j) { j["discovery"] = "nowhere"; }) ==
+  CHECK(error_after([](json& config) { config.erase("listen"); }) == "configuration: 'listen' is missing");
+  CHECK(error_after([](json& config) { config["discovery"] = "nowhere"; }) ==
         "configuration: 'discovery' is 'nowhere', not an address");
-  CHECK(why([](json& j) { j["seed"] = "xyz"; }) ==
+  CHECK(error_after([](json& config) { config["seed"] = "xyz"; }) ==
         "configuration: 'seed' is 'xyz', not a hexadecimal number");
-  CHECK(why([](json& j) { j["limits"]["sockets"] = -1; }) == "configuration: 'limits.sockets' is -1");
-  CHECK(why([](json& j) { j["settings"].erase("instances"); }) ==
+  CHECK(error_after([](json& config) { config["limits"]["sockets"] = -1; }) ==
+        "configuration: 'limits.sockets' is -1");
+  CHECK(error_after([](json& config) { config["settings"].erase("instances"); }) ==
         "configuration: settings: 'instances' is missing");
   CHECK_THROWS_AS(platform::read_node_config("{"), std::invalid_argument);
 }
 
 TEST_CASE("invalid entries of a discovery list are skipped and counted") {
-  const auto announced_at = platform::parse_discovery_list(
+  const auto parsed = platform::parse_discovery_list(
       R"({"rev":41,"all":true,"targets":[
         {"uid":"a","endpoint":"127.0.0.1:1","az":"east","model":"prefill","pod_group":3,"state":"up","boot_ms":1500},
         {"uid":"b","endpoint":"127.0.0.1:1","az":"east","model":"prefill","pod_group":3,"state":"odd"},
         {"endpoint":"127.0.0.1:1","state":"up","pod_group":3}, 7]})");
-  CHECK(announced_at.skipped_entries == 3);
-  REQUIRE(announced_at.list.workers.size() == 1);
-  CHECK(announced_at.list.workers[0].started_at == 1500 * kMs);
-  CHECK(announced_at.list.workers[0].cell == "3");
+  CHECK(parsed.skipped_entries == 3);
+  REQUIRE(parsed.list.workers.size() == 1);
+  CHECK(parsed.list.workers[0].started_at == 1500 * kMs);
+  CHECK(parsed.list.workers[0].cell == "3");
   CHECK_THROWS_AS(platform::parse_discovery_list("{\"rev\":1}"), std::invalid_argument);
   CHECK_THROWS_AS(platform::parse_discovery_list("[]"), std::invalid_argument);
 }
@@ -86,10 +88,10 @@
   fixture.send("up", "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
   CHECK(fixture.response("up").status == 200);
   fixture.send("a", PlatformFixture::request("a1"));
-  const ReceivedResponse& got = fixture.response("a");
-  CHECK(got.status == 200);
-  CHECK(got.complete);
-  CHECK(got.body == whole_stream(3));
+  const ReceivedResponse& response = fixture.response("a");
+  CHECK(response.status == 200);
+  CHECK(response.complete);
+  CHECK(response.body == whole_stream(3));
   CHECK(fixture.worker("reader-0").request_log ==
         std::vector<std::string>{"POST /v1/chat/completions?trace=1 a1"});
   CHECK(fixture.worker("writer-0").request_log ==
@@ -101,7 +103,7 @@
   CHECK(fixture.node->codec().open_calls() == 0);
 }
 
-// Rule 2: workers recognize a repeated keyed request by a field that the client sent.
+// Guards rule 2: workers recognize a repeat of a request with an idempotency key by a field of the client.
 TEST_CASE("end-to-end fields of a request are forwarded to both workers, hop-by-hop fields are not") {
   PlatformFixture fixture(1, 1);
   std::string text = PlatformFixture::request("a1");
@@ -129,62 +131,64 @@
   const auto& codec = fixture.node->codec();
   CHECK(codec.parse_load_report(" X-Load-Report: concurrent=7,x0=0.61").requests == 7);
   CHECK(codec.parse_load_report("x-load-report: concurrent=7,x0=0.61").memory_share == doctest::Approx(0.61));
-  for (const char* odd :
+  for (const char* malformed :
        {" X-Load-Report: concurrent=seven", " X-Load-Report: concurrent", " X-Load-Report: x0=-1",
         " X-Load-Report: x0=nan", " X-Other: x0=1", "", " X-Load-Report:"})
-    CHECK_FALSE(codec.parse_load_report(odd).received);
+    CHECK_FALSE(codec.parse_load_report(malformed).received);
 }
 
 // Responses of workers.
 
 TEST_CASE("each outcome of an attempt leads to one complete response, and no attempt stays open") {
   struct Case {
-    const char* what;
+    const char* description;
     bool at_prefill;
     ScriptedResponse scripted;
   };
-  const auto answer = [](int status, const char* fields) {
+  const auto respond_with = [](int status, const char* fields) {
     return http::format_response(status, fields, "", true);
   };
-  using Then = ScriptedResponse::Finish;
+  using Finish = ScriptedResponse::Finish;
   const Case cases[] = {
-      {"prefill worker returns an error", true, {answer(500, "")}},
-      {"prefill worker rejects with 503", true, {answer(503, "X-Rejected: 1\r\n")}},
-      {"prefill worker rejects with 504", true, {answer(504, "X-Rejected: 1\r\n")}},
-      {"prefill worker resets the connection", true, {"", Then::reset}},
-      {"prefill worker closes the connection", true, {"", Then::close}},
-      {"prefill worker closes within the response head", true, {"HTTP/1.1 202 Acc", Then::close}},
-      {"prefill worker sends garbage", true, {"\x01\x02 nonsense\r\n\r\n", Then::hang}},
-      {"prefill worker does not respond", true, {"", Then::hang}},
-      {"decode worker returns an error", false, {answer(500, "")}},
-      {"decode worker rejects with 503", false, {answer(503, "X-Rejected: 1\r\n")}},
-      {"decode worker has no KV cache", false, {answer(410, "X-Rejected: 1\r\n")}},
-      {"decode worker resets the connection", false, {"", Then::reset}},
-      {"decode worker does not respond", false, {"", Then::hang}},
-      {"garbage instead of a stream", false, {std::string(300, '\x07'), Then::hang}},
-      {"a malformed response head", false, {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", Then::hang}},
-      {"an endless response head", false, {"HTTP/1.1 200 OK\r\nx: " + std::string(200'000, 'y'), Then::hang}},
-      {"a malformed first chunk", false, {FakeWorker::stream_head() + "zz\r\n", Then::hang}},
+      {"prefill worker returns an error", true, {respond_with(500, "")}},
+      {"prefill worker rejects with 503", true, {respond_with(503, "X-Rejected: 1\r\n")}},
+      {"prefill worker rejects with 504", true, {respond_with(504, "X-Rejected: 1\r\n")}},
+      {"prefill worker resets the connection", true, {"", Finish::reset}},
+      {"prefill worker closes the connection", true, {"", Finish::close}},
+      {"prefill worker closes within the response head", true, {"HTTP/1.1 202 Acc", Finish::close}},
+      {"prefill worker sends garbage", true, {"\x01\x02 nonsense\r\n\r\n", Finish::hang}},
+      {"prefill worker does not respond", true, {"", Finish::hang}},
+      {"decode worker returns an error", false, {respond_with(500, "")}},
+      {"decode worker rejects with 503", false, {respond_with(503, "X-Rejected: 1\r\n")}},
+      {"decode worker has no KV cache", false, {respond_with(410, "X-Rejected: 1\r\n")}},
+      {"decode worker resets the connection", false, {"", Finish::reset}},
+      {"decode worker does not respond", false, {"", Finish::hang}},
+      {"garbage instead of a stream", false, {std::string(300, '\x07'), Finish::hang}},
+      {"a malformed response head", false, {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", Finish::hang}},
+      {"an endless response head",
+       false,
+       {"HTTP/1.1 200 OK\r\nx: " + std::string(200'000, 'y'), Finish::hang}},
+      {"a malformed first chunk", false, {FakeWorker::stream_head() + "zz\r\n", Finish::hang}},
       {"a malformed first event",
        false,
-       {FakeWorker::stream_head() + FakeWorker::chunked("data: {\"choices\":\n\n"), Then::hang}},
+       {FakeWorker::stream_head() + FakeWorker::chunked("data: {\"choices\":\n\n"), Finish::hang}},
       {"a stream that ends before its first event", false, {FakeWorker::stream_head() + "0\r\n\r\n"}},
   };
   for (const Case& test_case : cases) {
-    CAPTURE(std::string(test_case.what));
+    CAPTURE(std::string(test_case.description));
     PlatformFixture fixture(2, 2);
     for (auto& w : fixture.workers)
       if (w->is_prefill == test_case.at_prefill) w->script = {test_case.scripted};
     fixture.send("a", PlatformFixture::request("a1"));
     // Only the worker that is chosen first runs its script.
-    const auto waits = [&](const auto& w) {
+    const auto script_unused = [&](const auto& w) {
       return w->is_prefill == test_case.at_prefill && !w->script.empty();
     };
-    fixture.loop.run_until([&] { return std::ranges::count_if(fixture.workers, waits) == 1; });
+    fixture.loop.run_until([&] { return std::ranges::count_if(fixture.workers, script_unused) == 1; });
     for (auto& w : fixture.workers) w->script.clear();
-    const ReceivedResponse& got = fixture.response("a");
-    CHECK(got.status == 200);
-    CHECK(got.body == whole_stream(3));
+    const ReceivedResponse& response = fixture.response("a");
+    CHECK(response.status == 200);
+    CHECK(response.body == whole_stream(3));
     fixture.run_for(3000);
     CHECK(fixture.kv_entries.empty());
     CHECK(fixture.node->host().live_requests() == 0);
@@ -206,30 +210,29 @@
        broken_stream(FakeWorker::chunked("data: {\"choi"), 1500 * kMs)},
       {"half a chunk late, then no more data", broken_stream("400\r\ndata: {\"choices\":", 1500 * kMs)},
   };
-  // 6: the attempt has a timeout of its own; 2: it is the last one, which is limited only by the client's
-  // deadline.
+  // 6: the attempt has a timeout of its own. 2: it is the last one, limited only by the client's deadline.
   for (const int attempts : {6, 2})
-    for (const auto& [what, scripted] : cases) {
-      CAPTURE(std::string(what));
+    for (const auto& [name, scripted] : cases) {
+      CAPTURE(std::string(name));
       CAPTURE(attempts);
       json settings = test_settings();
       settings["caps"]["attemptsCap"] = attempts;
       PlatformFixture fixture(1, 1, settings);
       fixture.worker("writer-0").script = {scripted};
       fixture.send("a", PlatformFixture::request("a1", PlatformFixture::request_body(), "60000"));
-      const ReceivedResponse& got = fixture.response("a");
-      CHECK(got.status == 200);
-      CHECK_FALSE(got.complete);
-      CHECK(got.body.starts_with(FakeWorker::event(0)));
-      CHECK(got.body.find("error") == std::string::npos);
-      CHECK(got.elapsed < 5000 * kMs);
+      const ReceivedResponse& response = fixture.response("a");
+      CHECK(response.status == 200);
+      CHECK_FALSE(response.complete);
+      CHECK(response.body.starts_with(FakeWorker::event(0)));
+      CHECK(response.body.find("error") == std::string::npos);
+      CHECK(response.elapsed < 5000 * kMs);
       CHECK(fixture.count_requests("POST") == 2);
       fixture.run_for(100);
       CHECK(fixture.node->host().live_requests() == 0);
     }
 }
 
-TEST_CASE("valid responses with 1xx responses before them or a second response after them") {
+TEST_CASE("a response with 1xx responses before it or a second response after it is accepted") {
   PlatformFixture fixture(1, 1);
   const std::string stream = FakeWorker::stream_head() + FakeWorker::chunked(whole_stream(2)) + "0\r\n\r\n";
   fixture.worker("writer-0").script = {
@@ -238,10 +241,10 @@
   };
   for (const char* id : {"a", "b", "c"}) {
     fixture.send(id, PlatformFixture::request(id));
-    const ReceivedResponse& got = fixture.response(id);
-    CHECK(got.complete);
-    CHECK(got.body == whole_stream(id[0] == 'c' ? 3 : 2));
-    CHECK(got.last_byte_at < fixture.loop.now());
+    const ReceivedResponse& response = fixture.response(id);
+    CHECK(response.complete);
+    CHECK(response.body == whole_stream(id[0] == 'c' ? 3 : 2));
+    CHECK(response.last_byte_at < fixture.loop.now());
   }
   // The connection with the second response was not reused.
   CHECK(fixture.worker("writer-0").accepted_connections == 2);
@@ -268,10 +271,10 @@
   for (int i = 0; i < 40; ++i)
     fixture.worker("writer-0").script.push_back({http::format_response(503, "X-Rejected: 1\r\n", "", true)});
   fixture.send("a", PlatformFixture::request("a1"));
-  const ReceivedResponse& got = fixture.response("a");
-  CHECK(got.status == 503);
-  CHECK(got.elapsed < 1000 * kMs);
-  CHECK(got.fields.find("retry-after: 0.") != std::string::npos);
+  const ReceivedResponse& response = fixture.response("a");
+  CHECK(response.status == 503);
+  CHECK(response.elapsed < 1000 * kMs);
+  CHECK(response.fields.find("retry-after: 0.") != std::string::npos);
   fixture.run_for(200);
   CHECK(fixture.kv_entries.empty());
   CHECK(fixture.count_requests("DELETE a1") >= 1);
@@ -298,19 +301,19 @@
   CHECK(fixture.worker("writer-0").request_log.back() == "DELETE a1");
 }
 
-// Rule 5 with most workers unresponsive: release calls made one after another would reach the responsive
-// worker too late.
+// Guards rule 5 where most workers are unresponsive: release calls made one after another would reach the
+// responsive worker too late.
 TEST_CASE("KV cache is released in time although all prefill workers are unresponsive") {
   PlatformFixture fixture(12, 1);
   fixture.worker("writer-0").script = always_reject();
   fixture.send("a", PlatformFixture::request("a1"));
   fixture.loop.run_until([&] { return !fixture.kv_entries.empty(); });
-  const io::Nanos held = fixture.loop.now();
+  const io::Nanos held_since = fixture.loop.now();
   for (auto& w : fixture.workers) w->unresponsive = w->is_prefill;
   fixture.loop.run_until(
-      [&] { return fixture.kv_entries.empty() || fixture.loop.now() - held > 3000 * kMs; });
+      [&] { return fixture.kv_entries.empty() || fixture.loop.now() - held_since > 3000 * kMs; });
   CHECK(fixture.kv_entries.empty());
-  CHECK(fixture.loop.now() - held <= 1000 * kMs);
+  CHECK(fixture.loop.now() - held_since <= 1000 * kMs);
   CHECK(fixture.response("a").status == 503);
 }
 
@@ -371,7 +374,8 @@
 
 // Invalid requests.
 
-// Otherwise each request that no worker accepts would be retried everywhere and get healthy workers ejected.
+// Guards against a request that no worker accepts being retried at every worker and getting healthy workers
+// ejected.
 TEST_CASE(
     "a request that a worker rejects as invalid: one attempt, a 4xx and a close; the worker counts as "
     "healthy") {
@@ -380,9 +384,9 @@
     PlatformFixture fixture(1, 1);
     fixture.worker("reader-0").script =
         std::deque<ScriptedResponse>(20, {http::format_response(status, "", "", true)});
-    std::string many;
-    for (int i = 0; i < 50; ++i) many += PlatformFixture::request("m" + std::to_string(i));
-    fixture.send("many", many, 0, 50);
+    std::string pipelined;
+    for (int i = 0; i < 50; ++i) pipelined += PlatformFixture::request("m" + std::to_string(i));
+    fixture.send("many", pipelined, 0, 50);
     fixture.response("many");
     CHECK(fixture.responses["many"][0].status == 400);
     CHECK(fixture.responses["many"][1].status == 0);
@@ -397,47 +401,47 @@
 }
 
 TEST_CASE("an invalid request gets one 4xx and a close, and nothing is sent to a worker") {
-  using F = std::vector<std::pair<std::string, std::string>>;
-  const F good = {{"X-Call-Id", "z1"},
-                  {"X-Call-Class", "chat"},
-                  {"X-Caller", "acme"},
-                  {"X-Budget-Ms", "900"},
-                  {"X-Call-Info", "prompt_len=10,prefix_len=0,max_out=5"}};
-  const auto change = [&](std::size_t i, const char* value) {
-    F f = good;
-    f[i].second = value;
-    return PlatformFixture::request_with(f);
+  using Fields = std::vector<std::pair<std::string, std::string>>;
+  const Fields good = {{"X-Call-Id", "z1"},
+                       {"X-Call-Class", "chat"},
+                       {"X-Caller", "acme"},
+                       {"X-Budget-Ms", "900"},
+                       {"X-Call-Info", "prompt_len=10,prefix_len=0,max_out=5"}};
+  const auto with_value = [&](std::size_t i, const char* value) {
+    Fields fields = good;
+    fields[i].second = value;
+    return PlatformFixture::request_with(fields);
   };
   const auto without = [&](std::size_t i) {
-    F f = good;
-    f.erase(f.begin() + static_cast<std::ptrdiff_t>(i));
-    return PlatformFixture::request_with(f);
+    Fields fields = good;
+    fields.erase(fields.begin() + static_cast<std::ptrdiff_t>(i));
+    return PlatformFixture::request_with(fields);
   };
-  F twice = good;
-  twice.emplace_back("x-call-id", "z2");
-  const std::string get = "GET /v1/chat/completions HTTP/1.1\r\nHost: h\r\n\r\n";
-  const std::string hidden = PlatformFixture::request("hidden");
+  Fields two_ids = good;
+  two_ids.emplace_back("x-call-id", "z2");
+  const std::string get_request = "GET /v1/chat/completions HTTP/1.1\r\nHost: h\r\n\r\n";
+  const std::string smuggled_request = PlatformFixture::request("hidden");
   const std::pair<const char*, std::string> cases[] = {
       {"no id", without(0)},
-      {"two ids", PlatformFixture::request_with(twice)},
-      {"an id that is a path", change(0, "../x")},
-      {"a long id", change(0, std::string(300, 'a').c_str())},
+      {"two ids", PlatformFixture::request_with(two_ids)},
+      {"an id that is a path", with_value(0, "../x")},
+      {"a long id", with_value(0, std::string(300, 'a').c_str())},
       {"no class", without(1)},
-      {"a class that does not exist", change(1, "nothing")},
-      {"a tenant that does not exist", change(2, "nobody")},
+      {"a class that does not exist", with_value(1, "nothing")},
+      {"a tenant that does not exist", with_value(2, "nobody")},
       {"no time limit", without(3)},
-      {"a time limit that is not a number", change(3, "soon")},
-      {"a negative time limit", change(3, "-5")},
-      {"a time limit of zero", change(3, "0")},
-      {"a time limit with trailing characters", change(3, "900x")},
-      {"a time limit out of range", change(3, "99999999999999999999999")},
-      {"a length that is not a number", change(4, "prompt_len=many")},
-      {"a negative length", change(4, "prompt_len=-1")},
-      {"a length without a value", change(4, "prompt_len")},
+      {"a time limit that is not a number", with_value(3, "soon")},
+      {"a negative time limit", with_value(3, "-5")},
+      {"a time limit of zero", with_value(3, "0")},
+      {"a time limit with trailing characters", with_value(3, "900x")},
+      {"a time limit out of range", with_value(3, "99999999999999999999999")},
+      {"a length that is not a number", with_value(4, "prompt_len=many")},
+      {"a negative length", with_value(4, "prompt_len=-1")},
+      {"a length without a value", with_value(4, "prompt_len")},
       {"a body that is not JSON", PlatformFixture::request_with(good, "{\"model\":")},
       {"a body with trailing JSON", PlatformFixture::request_with(good, "{} {}")},
       {"a body that is not an object", PlatformFixture::request_with(good, "[1]")},
-      {"another method", get},
+      {"another method", get_request},
       {"another path", "POST /other HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"},
       {"not HTTP", std::string("\x16\x03\x01 hello\r\n\r\n")},
       {"an endless head", "POST /v1/chat/completions HTTP/1.1\r\nx: " + std::string(100'000, 'y')},
@@ -449,21 +453,21 @@
       {"content length before chunked encoding",
        "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 5\r\n"
        "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
-           hidden},
+           smuggled_request},
       {"chunked encoding before content length",
        "POST /v1/chat/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"
        "Content-Length: 5\r\n\r\n0\r\n\r\n" +
-           hidden},
+           smuggled_request},
   };
   PlatformFixture fixture(1, 1);
-  for (const auto& [what, text] : cases) {
-    CAPTURE(std::string(what));
-    fixture.send(what, text);
-    const ReceivedResponse& got = fixture.response(what);
-    CHECK(got.status >= 400);
-    CHECK(got.status < 500);
-    CHECK(got.connection_closed);
-    CHECK(got.elapsed < 3000 * kMs);
+  for (const auto& [name, text] : cases) {
+    CAPTURE(std::string(name));
+    fixture.send(name, text);
+    const ReceivedResponse& response = fixture.response(name);
+    CHECK(response.status >= 400);
+    CHECK(response.status < 500);
+    CHECK(response.connection_closed);
+    CHECK(response.elapsed < 3000 * kMs);
   }
   CHECK(fixture.count_requests("") == 0);
   CHECK(fixture.node->host().live_requests() == 0);
@@ -491,12 +495,12 @@
       {"half a body", PlatformFixture::request("half").substr(0, 500)},
   };
   PlatformFixture fixture(1, 1);
-  for (const auto& [what, text] : cases) {
-    CAPTURE(std::string(what));
-    fixture.send(what, text);
-    CHECK(fixture.response(what).connection_closed);
-    CHECK(fixture.response(what).elapsed < 3000 * kMs);
-    CHECK(fixture.response(what).elapsed > 2000 * kMs);
+  for (const auto& [name, text] : cases) {
+    CAPTURE(std::string(name));
+    fixture.send(name, text);
+    CHECK(fixture.response(name).connection_closed);
+    CHECK(fixture.response(name).elapsed < 3000 * kMs);
+    CHECK(fixture.response(name).elapsed > 2000 * kMs);
   }
   CHECK(fixture.count_requests("") == 0);
 }
@@ -512,7 +516,7 @@
   CAPTURE(fixture.responses["a"].back().body);
   CAPTURE(fixture.responses["a"].back().elapsed / kMs);
   REQUIRE(fixture.responses["a"].size() == 100);
-  for (const ReceivedResponse& got : fixture.responses["a"]) CHECK(got.body == whole_stream(3));
+  for (const ReceivedResponse& response : fixture.responses["a"]) CHECK(response.body == whole_stream(3));
   CHECK(fixture.worker("writer-0").request_log[57] == "POST /v1/chat/completions?trace=1 p57");
 }
 
@@ -529,7 +533,7 @@
   for (int i = 0; i < 300; ++i) CHECK(fixture.response("flood" + std::to_string(i)).connection_closed);
 }
 
-TEST_CASE("at the connection limit a connection that becomes idle is closed for one that waits") {
+TEST_CASE("at the connection limit a connection that becomes idle is closed in favour of one that waits") {
   PlatformFixture fixture(1, 1, test_settings(), 64);  // 28 connections for clients
   fixture.worker("writer-0").stream_events = 40;
   for (int i = 0; i < 28; ++i)
@@ -565,13 +569,13 @@
   CHECK(fixture.worker("writer-0").request_log.empty());
 }
 
-// Rule 3 in every state of the watch. Discovery has the drain at the time 'reachable'; the platform counts it
-// as announced 6 s later, and 4 s after a new configuration.
+// Guards rule 3 in every state of the watch. Discovery serves the drain from `reachable_at` on. The platform
+// counts the router as notified 6 s later, or 4 s after a new configuration.
 TEST_CASE("a drain is applied in time, whatever the outcome of the watch or of the previous call") {
   struct Case {
-    const char* what;
-    // Returns with discovery reachable and the drain not yet announced.
-    std::function<void(PlatformFixture&)> before;
+    const char* description;
+    // On return discovery is reachable and has not announced the drain yet.
+    std::function<void(PlatformFixture&)> prepare;
   };
   const auto drain = [](PlatformFixture& fixture) {
     fixture.discovery.update(PlatformFixture::target(fixture.worker("writer-0"), "draining"));
@@ -614,14 +618,15 @@
        }},
       {"lists are pretty-printed and always full",
        [](PlatformFixture& fixture) {
-         fixture.discovery.pretty_print = fixture.discovery.always_full_list = true;
+         fixture.discovery.pretty_print = true;
+         fixture.discovery.always_full_list = true;
          fixture.run_for(4000);
        }},
   };
   for (const Case& test_case : cases) {
-    CAPTURE(std::string(test_case.what));
+    CAPTURE(std::string(test_case.description));
     PlatformFixture fixture(1, 2);
-    test_case.before(fixture);
+    test_case.prepare(fixture);
     const io::Nanos reachable_at = fixture.loop.now();
     drain(fixture);
     fixture.loop.run_until([&] { return !fixture.is_listed_ready("writer-0"); });
@@ -637,24 +642,24 @@
   for (const int refused_ms : {0, 1000, 3000}) {
     CAPTURE(refused_ms);
     PlatformFixture fixture(1, 2);
-    FakeDiscovery next(fixture.loop);
+    FakeDiscovery new_agent(fixture.loop);
     for (auto& w : fixture.workers)
-      next.update(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
-    if (refused_ms > 0) next.close();
-    const io::Nanos announced_at = fixture.loop.now();
-    fixture.node->set_discovery_agent(next.address());
+      new_agent.update(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
+    if (refused_ms > 0) new_agent.close();
+    const io::Nanos reloaded_at = fixture.loop.now();
+    fixture.node->set_discovery_agent(new_agent.address());
     if (refused_ms > 0) {
       fixture.run_for(refused_ms);
-      next.open();
+      new_agent.open();
     }
     fixture.loop.run_until([&] { return !fixture.is_listed_ready("writer-0"); });
-    CHECK(fixture.loop.now() - announced_at <= (refused_ms + 800) * kMs);
+    CHECK(fixture.loop.now() - reloaded_at <= (refused_ms + 800) * kMs);
     fixture.scope.cancel();
     fixture.node.reset();
   }
 }
 
-// Lists have a cost per line over the whole fleet.
+// Guards against the cost of full lists, which have an entry for every worker of the fleet.
 TEST_CASE("a full list is fetched only at the start; after a failed watch only changes are fetched") {
   PlatformFixture fixture(1, 1);
   fixture.run_for(60'000);
@@ -669,7 +674,8 @@
   CHECK(fixture.discovery.calls.size() <= 40);
 }
 
-TEST_CASE("ready once discovery has delivered a list or had two seconds to, and workers are known") {
+TEST_CASE(
+    "the router is ready once discovery has delivered a list or 2 s have passed, and workers are known") {
   const auto time_until_ready = [](PlatformFixture& fixture, io::Nanos max_wait) {
     const io::Nanos started_at = fixture.loop.now();
     for (int i = 0; fixture.loop.now() - started_at < max_wait; ++i) {
@@ -742,7 +748,7 @@
         co_await io::connect(setup.loop, setup.node->address(), socket);
         co_await socket.write_all(PlatformFixture::request("a1", PlatformFixture::request_body(), "60000"));
         co_await setup.loop.sleep_for(60 * kMs);
-        // Is not read while the first request is in progress.
+        // The router does not read this while the first request is in progress.
         co_await socket.write_all(PlatformFixture::request("a2") + "POST /v1");
         co_await setup.loop.sleep_for(60 * kMs);
         socket.close(with_reset);
@@ -778,34 +784,35 @@
 TEST_CASE(
     "a request that crosses the close of its connection: a clean close, no reset, and it is not sent to a "
     "worker") {
-  for (const bool request_first : {false, true}) {  // true: it arrives before the drain, but is not read yet
-    CAPTURE(request_first);
+  for (const bool request_before_drain : {false, true}) {  // true: sent before the drain, and not read yet
+    CAPTURE(request_before_drain);
     PlatformFixture fixture(1, 1);
-    std::string first, rest = "none";
-    int error = 0;
-    fixture.scope.spawn([](PlatformFixture& setup, bool sends_first, std::string& first_body,
-                           std::string& rest_of_data, int& read_error) -> io::Task<> {
+    std::string first_response;
+    std::string data_after = "none";
+    int last_error = 0;
+    fixture.scope.spawn([](PlatformFixture& setup, bool sends_before_drain, std::string& received_first,
+                           std::string& received_after, int& read_error) -> io::Task<> {
       io::Socket socket;
       co_await io::connect(setup.loop, setup.node->address(), socket);
       co_await socket.write_all(PlatformFixture::request("a1"));
       http::MessageReader reader(socket, http::MessageKind::response);
       http::Head head;
       co_await reader.read_head(head);
-      co_await reader.read_body(first_body);
-      if (!sends_first) setup.node->drain();
+      co_await reader.read_body(received_first);
+      if (!sends_before_drain) setup.node->drain();
       co_await socket.write_all(PlatformFixture::request("a2"));
-      if (sends_first) setup.node->drain();
+      if (sends_before_drain) setup.node->drain();
       std::array<char, 4096> buffer;
       const io::IoResult received = co_await socket.read_some(buffer);
-      rest_of_data.assign(buffer.data(), received.bytes);
+      received_after.assign(buffer.data(), received.bytes);
       read_error = received.error;
       co_await setup.loop.sleep_for(50 * kMs);
       if (read_error == 0) read_error = (co_await socket.write_all(PlatformFixture::request("a3"))).error;
-    }(fixture, request_first, first, rest, error));
+    }(fixture, request_before_drain, first_response, data_after, last_error));
     fixture.run_for(400);
-    CHECK(first == whole_stream(3));
-    CHECK(rest.empty());
-    CHECK(error == 0);
+    CHECK(first_response == whole_stream(3));
+    CHECK(data_after.empty());
+    CHECK(last_error == 0);
     CHECK(fixture.count_requests("POST") == 2);
     fixture.run_for(1500);
     CHECK(fixture.node->connections() == 0);
@@ -855,27 +862,30 @@
   CHECK(fixture.count_requests("POST") == 2);
 }
 
-// Guards against taking a worker's second response for the response to the next request on its connection.
+// Guards against a worker's second response being taken for the response to the next request on its
+// connection.
 TEST_CASE("a second response that arrives some milliseconds late is discarded") {
-  for (const char* role : {"reader-0", "writer-0"})
-    for (const int behind_ms : {1, 10, 40}) {
-      CAPTURE(std::string(role));
-      CAPTURE(behind_ms);
+  for (const char* worker_name : {"reader-0", "writer-0"})
+    for (const int late_delay_ms : {1, 10, 40}) {
+      CAPTURE(std::string(worker_name));
+      CAPTURE(late_delay_ms);
       PlatformFixture fixture(1, 1);
       const std::string stream =
           FakeWorker::stream_head() + FakeWorker::chunked(whole_stream(2)) + "0\r\n\r\n";
-      const std::string read = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":77}";
-      const std::string other =
+      const std::string prefill_response =
+          "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":77}";
+      const std::string late_stream =
           FakeWorker::stream_head() + FakeWorker::chunked(whole_stream(1)) + "0\r\n\r\n";
-      const bool reads = role[0] == 'r';
-      fixture.worker(role).script = {{reads ? read : stream, ScriptedResponse::Finish::keep_alive, 0, false,
-                                      reads, reads ? read : other, behind_ms * kMs}};
+      const bool at_prefill = worker_name[0] == 'r';
+      fixture.worker(worker_name).script = {
+          {at_prefill ? prefill_response : stream, ScriptedResponse::Finish::keep_alive, 0, false, at_prefill,
+           at_prefill ? prefill_response : late_stream, late_delay_ms * kMs}};
       // The next request reaches the same worker before its second response is sent.
       fixture.send("a", PlatformFixture::request("a1"));
       fixture.loop.run_until(
-          [&] { return reads ? !fixture.kv_entries.empty() : !fixture.responses["a"].empty(); });
+          [&] { return at_prefill ? !fixture.kv_entries.empty() : !fixture.responses["a"].empty(); });
       fixture.send("b1", PlatformFixture::request("b1"));
-      CHECK(fixture.response("a").body == whole_stream(reads ? 3 : 2));
+      CHECK(fixture.response("a").body == whole_stream(at_prefill ? 3 : 2));
       CHECK(fixture.response("b1").body == whole_stream(3));
       fixture.send("b2", PlatformFixture::request("b2"));
       CHECK(fixture.response("b2").body == whole_stream(3));
@@ -903,9 +913,9 @@
 
 TEST_CASE("a list entry of an unknown kind or zone is skipped, the others are used") {
   PlatformFixture fixture(1, 1);
-  json odd = PlatformFixture::target("odd", "127.0.0.1:1", true);
-  odd["model"] = "unheard-of";
-  fixture.discovery.update(odd);
+  json unknown_kind = PlatformFixture::target("odd", "127.0.0.1:1", true);
+  unknown_kind["model"] = "unheard-of";
+  fixture.discovery.update(unknown_kind);
   fixture.run_for(20);
   fixture.send("a", PlatformFixture::request("a1"));
   CHECK(fixture.response("a").complete);
@@ -913,7 +923,7 @@
 
 TEST_CASE("ten thousand workers are added and removed under new ids: their table entries are reused") {
   PlatformFixture fixture(1, 1);
-  std::size_t max_wait = 0;
+  std::size_t entries_halfway = 0;
   for (int batch = 0; batch < 100; ++batch) {
     for (int i = 0; i < 100; ++i)
       fixture.discovery.update(
@@ -923,10 +933,10 @@
       fixture.discovery.update(
           PlatformFixture::target(fmt::format("w{}-{}", batch, i), "127.0.0.1:1", i % 2 == 0, "removed"));
     fixture.run_for(6500);
-    if (batch == 49) max_wait = fixture.node->host().fleet().entries().size();
+    if (batch == 49) entries_halfway = fixture.node->host().fleet().entries().size();
   }
-  CHECK(max_wait < 1200);
-  CHECK(fixture.node->host().fleet().entries().size() == max_wait);
+  CHECK(entries_halfway < 1200);
+  CHECK(fixture.node->host().fleet().entries().size() == entries_halfway);
   fixture.send("a", PlatformFixture::request("a1"));
   CHECK(fixture.response("a").complete);
 }
@@ -940,9 +950,9 @@
     fixture.send("a" + std::to_string(i), PlatformFixture::request("a" + std::to_string(i)));
   int served = 0;
   for (int i = 0; i < 14; ++i) {
-    const ReceivedResponse& got = fixture.response("a" + std::to_string(i));
-    served += got.complete && got.status == 200;
-    CHECK((got.status == 200 || got.status == 503));
+    const ReceivedResponse& response = fixture.response("a" + std::to_string(i));
+    served += response.complete && response.status == 200;
+    CHECK((response.status == 200 || response.status == 503));
   }
   CHECK(served >= 10);
   fixture.run_for(3000);
@@ -955,23 +965,24 @@
     "the discovery agent changes under load: the new one is called at once, requests in flight are not "
     "affected") {
   PlatformFixture fixture(1, 2);
-  fixture.worker("writer-0").stream_events = fixture.worker("writer-1").stream_events = 40;
+  fixture.worker("writer-0").stream_events = 40;
+  fixture.worker("writer-1").stream_events = 40;
   for (int i = 0; i < 4; ++i)
     fixture.send("a" + std::to_string(i), PlatformFixture::request("a" + std::to_string(i)));
   fixture.run_for(100);
-  FakeDiscovery next(fixture.loop);
-  next.rev = 100;
+  FakeDiscovery new_agent(fixture.loop);
+  new_agent.rev = 100;
   for (auto& w : fixture.workers)
-    next.update(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
-  fixture.node->set_discovery_agent(next.address());
+    new_agent.update(PlatformFixture::target(*w, w->name == "writer-0" ? "draining" : "up"));
+  fixture.node->set_discovery_agent(new_agent.address());
   fixture.run_for(50);
-  REQUIRE(next.calls.size() >= 2);
-  CHECK(next.calls[0] == "/discovery/hosts");
+  REQUIRE(new_agent.calls.size() >= 2);
+  CHECK(new_agent.calls[0] == "/discovery/hosts");
   for (int i = 0; i < 4; ++i) CHECK(fixture.response("a" + std::to_string(i)).body == whole_stream(40));
-  const std::size_t before = fixture.worker("writer-0").request_log.size();
+  const std::size_t requests_before = fixture.worker("writer-0").request_log.size();
   fixture.send("b", PlatformFixture::request("b1"));
   CHECK(fixture.response("b").complete);
-  CHECK(fixture.worker("writer-0").request_log.size() == before);
+  CHECK(fixture.worker("writer-0").request_log.size() == requests_before);
   const std::size_t old_calls = fixture.discovery.calls.size();
   fixture.run_for(30'000);
   CHECK(fixture.discovery.calls.size() == old_calls);
@@ -999,73 +1010,76 @@
 
 TEST_CASE("the program: SIGHUP with an invalid file and a valid one, SIGTERM during a stream, exit 0") {
   io::Loop loop;
-  KvEntries states;
-  FakeWorker reader(loop, "reader-0", true, states), writer(loop, "writer-0", false, states);
-  writer.stream_events = 60;
-  FakeDiscovery first(loop), second(loop);
-  for (FakeDiscovery* a : {&first, &second})
-    for (FakeWorker* w : {&reader, &writer}) a->update(PlatformFixture::target(*w));
+  KvEntries kv_entries;
+  FakeWorker prefill_worker(loop, "reader-0", true, kv_entries);
+  FakeWorker decode_worker(loop, "writer-0", false, kv_entries);
+  decode_worker.stream_events = 60;
+  FakeDiscovery first_agent(loop);
+  FakeDiscovery second_agent(loop);
+  for (FakeDiscovery* agent : {&first_agent, &second_agent})
+    for (FakeWorker* worker : {&prefill_worker, &decode_worker})
+      agent->update(PlatformFixture::target(*worker));
   std::string address;
   {
     io::Listener port(loop, kAnyPort);
     address = port.address().to_string();
   }
   const std::string path = fmt::format("/tmp/cressrill-platform-{}.json", static_cast<const void*>(&loop));
-  const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
+  const auto write_config = [&](const std::string& text) { std::ofstream(path) << text; };
   json config = {{"name", "n0"},
                  {"listen", address},
-                 {"discovery", first.address().to_string()},
+                 {"discovery", first_agent.address().to_string()},
                  {"seed", "1"},
                  {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
                  {"settings", test_settings()}};
-  write(config.dump());
+  write_config(config.dump());
   ::setenv("EDGE_CONFIG", path.c_str(), 1);
   rig::Process router({ROUTER_PROGRAM, "--platform"}, path + ".log");
-  const auto until = [&](const std::function<bool()>& done) {
+  const auto run_until = [&](const std::function<bool()>& done) {
     io::Scope scope(loop);
-    scope.spawn([](io::Loop& l) -> io::Task<> {
-      for (;;) co_await l.sleep_for(5 * kMs);
+    scope.spawn([](io::Loop& event_loop) -> io::Task<> {
+      for (;;) co_await event_loop.sleep_for(5 * kMs);
     }(loop));
-    const io::Nanos last = loop.now() + 20 * io::kSecond;
-    loop.run_until([&] { return done() || loop.now() > last; });
+    const io::Nanos deadline = loop.now() + 20 * io::kSecond;
+    loop.run_until([&] { return done() || loop.now() > deadline; });
     return done();
   };
   const auto pool = std::make_shared<http::Pool>(loop, *io::parse_address(address));
   std::string body;
   int status = 0;
-  bool over = false;
+  bool finished = false;
   io::Scope scope(loop);
-  scope.spawn([](io::Loop& timer_loop, std::shared_ptr<http::Pool> server, int& code) -> io::Task<> {
-    while (code != 200) {
-      const http::ExchangeResult got =
+  scope.spawn([](io::Loop& timer_loop, std::shared_ptr<http::Pool> server, int& up_status) -> io::Task<> {
+    while (up_status != 200) {
+      const http::ExchangeResult result =
           co_await http::exchange(server, http::format_request("GET", "/up", "h", "", ""));
-      code = got.head.status;
+      up_status = result.head.status;
       co_await timer_loop.sleep_for(10 * kMs);
     }
   }(loop, pool, status));
-  REQUIRE(until([&] { return status == 200 && first.calls.size() >= 2; }));
-  write("{ not json");
+  REQUIRE(run_until([&] { return status == 200 && first_agent.calls.size() >= 2; }));
+  write_config("{ not json");
   ::kill(router.pid(), SIGHUP);
-  config["discovery"] = second.address().to_string();
-  CHECK(until([&] {
+  config["discovery"] = second_agent.address().to_string();
+  CHECK(run_until([&] {
     std::ifstream log(path + ".log");
     return std::string(std::istreambuf_iterator<char>(log), {}).find("configuration not taken") !=
            std::string::npos;
   }));
-  CHECK(second.calls.empty());
-  write(config.dump());
+  CHECK(second_agent.calls.empty());
+  write_config(config.dump());
   ::kill(router.pid(), SIGHUP);
-  CHECK(until([&] { return second.calls.size() >= 2; }));
-  scope.spawn([](std::shared_ptr<http::Pool> to, std::string& b, bool& done) -> io::Task<> {
-    http::ExchangeResult got = co_await http::exchange(to, PlatformFixture::request("a1"));
-    b = got.body;
+  CHECK(run_until([&] { return second_agent.calls.size() >= 2; }));
+  scope.spawn([](std::shared_ptr<http::Pool> server, std::string& received_body, bool& done) -> io::Task<> {
+    http::ExchangeResult result = co_await http::exchange(server, PlatformFixture::request("a1"));
+    received_body = result.body;
     done = true;
-  }(pool, body, over));
-  CHECK(until([&] { return writer.open_requests > 0; }));
+  }(pool, body, finished));
+  CHECK(run_until([&] { return decode_worker.open_requests > 0; }));
   router.terminate();
-  CHECK(until([&] { return over; }));
+  CHECK(run_until([&] { return finished; }));
   CHECK(body == whole_stream(60));
-  CHECK(until([&] { return !router.running(); }));
+  CHECK(run_until([&] { return !router.running(); }));
   CHECK(router.status() == 0);
   std::remove(path.c_str());
   std::remove((path + ".log").c_str());
@@ -1074,16 +1088,16 @@
 TEST_CASE("signals are delivered by number, in the order of their arrival") {
   io::Loop loop;
   io::SignalSet signals(loop, {SIGHUP, SIGUSR2});
-  std::vector<int> came;
+  std::vector<int> received;
   io::Scope scope(loop);
-  scope.spawn([](io::SignalSet& from, std::vector<int>& to) -> io::Task<> {
-    for (;;) to.push_back(co_await from.wait());
-  }(signals, came));
+  scope.spawn([](io::SignalSet& signal_set, std::vector<int>& numbers) -> io::Task<> {
+    for (;;) numbers.push_back(co_await signal_set.wait());
+  }(signals, received));
   std::raise(SIGHUP);
   std::raise(SIGUSR2);
   std::raise(SIGHUP);
-  loop.run_until([&] { return came.size() == 3; });
-  CHECK(came == std::vector<int>{SIGHUP, SIGUSR2, SIGHUP});
+  loop.run_until([&] { return received.size() == 3; });
+  CHECK(received == std::vector<int>{SIGHUP, SIGUSR2, SIGHUP});
 }
 
 }  // namespace cressrill::testing
