--- a/tests/attempt_begin_test.cpp
+++ b/tests/attempt_begin_test.cpp
@@ -1,6 +1,6 @@
-// Events between the decision for an attempt and the write of its first byte: the connection is established
-// late, and in the meantime the worker starts to drain, the client leaves, or the time in which the attempt
-// may begin ends.
+// Events between the choice of a worker for an attempt and the write of its first byte: the connection is
+// established late, and in the meantime the worker starts to drain, the client leaves, or the time in which the
+// attempt may begin ends.
 #include "platform_fixture.h"
 #include "raw_server.h"
 
@@ -10,7 +10,7 @@
 
 // A drain takes effect after 40 ms, well within the 250 ms that connecting may take. Repeats have to begin
 // within 150 ms, as 120 ms of the window are reserved for a delayed process.
-json settings_of(const std::string& effect) {
+json settings_for_effect(const std::string& effect) {
   json settings = test_settings();
   settings["obligations"]["stopSendingWithinMs"] = 80.0;
   settings["services"][0]["effect"] = effect;
@@ -18,9 +18,10 @@
   return settings;
 }
 
-// A fixture with one prefill worker, and one decode worker that the test controls by hand.
+// A fixture with one fake prefill worker, and one decode worker whose connections the test handles step by step.
 struct ManualDecodeWorker {
-  explicit ManualDecodeWorker(const std::string& effect = "retryable") : fixture(1, 0, settings_of(effect)) {
+  explicit ManualDecodeWorker(const std::string& effect = "retryable")
+      : fixture(1, 0, settings_for_effect(effect)) {
     update_status("up");
   }
   void update_status(const std::string& status) {
@@ -39,7 +40,7 @@
     });
     return connection->text();
   }
-  // The same once the attempt has ended, so that its connection may never be established.
+  // Returns what was received once the attempt has ended; its connection may never be established.
   std::string received_after_attempt() {
     server.drain_accept_queue();
     fixture.run_for(300);
@@ -48,7 +49,7 @@
     connection->read();
     return connection->text();
   }
-  // The connection of the first decode attempt of a request whose prefill has ended.
+  // Waits for the connection of the first decode attempt, and for its request on it.
   std::unique_ptr<RawConnection> first_attempt() {
     std::unique_ptr<RawConnection> connection;
     for (int i = 0; i < 200 && !connection; ++i) {
@@ -107,82 +108,82 @@
   CHECK(worker.received_after_attempt().empty());
 }
 
-// Guards rule 2: a repeat that the worker no longer recognises would take effect twice.
+// Guards rule 2: a repeat that the worker no longer recognizes as one would take effect twice.
 TEST_CASE(
     "a repeat whose connection is established after its window is not sent, and the client gets a response "
     "at once") {
   ManualDecodeWorker worker("dedup");
-  PlatformFixture& s = worker.fixture;
-  s.send("a", PlatformFixture::request("a1"));
-  const auto first = worker.first_attempt();
+  PlatformFixture& fixture = worker.fixture;
+  fixture.send("a", PlatformFixture::request("a1"));
+  const auto first_connection = worker.first_attempt();
   worker.server.fill_accept_queue();
-  s.run_for(100);
-  first->close(true);
-  s.run_for(40);  // the second attempt connects
-  CHECK(!s.last_responses.contains("a"));
-  s.run_for(20);
+  fixture.run_for(100);
+  first_connection->close(true);
+  fixture.run_for(40);  // the second attempt connects
+  CHECK(!fixture.last_responses.contains("a"));
+  fixture.run_for(20);
   CHECK(worker.received_after_attempt().empty());
-  CHECK(s.response("a").status != 0);
-  CHECK(s.response("a").elapsed < 300 * kMs);  // the pending connection may take longer
+  CHECK(fixture.response("a").status != 0);
+  CHECK(fixture.response("a").elapsed < 300 * kMs);  // the pending connect may take longer
 }
 
-// Guards against unsolicited bytes of a worker being parsed as the start of its next response.
+// Guards against unsolicited bytes from a worker being parsed as the start of its next response.
 TEST_CASE("an idle connection on which part of a line was received is not reused") {
-  PlatformFixture s(1, 1);
-  s.worker("reader-0").script = {{"HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":77}",
-                                  ScriptedResponse::Finish::keep_alive, 0, false, true, "HTTP/1.1 2",
-                                  60 * kMs}};
-  s.send("a", PlatformFixture::request("a1"));
-  CHECK(s.response("a").complete);
-  s.run_for(100);
-  s.send("b", PlatformFixture::request("b1"));
-  CHECK(s.response("b").complete);
-  CHECK(s.worker("reader-0").accepted_connections == 2);
-  CHECK(s.count_requests("POST") == 4);
+  PlatformFixture fixture(1, 1);
+  fixture.worker("reader-0").script = {
+      {"HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":77}",
+       ScriptedResponse::Finish::keep_alive, 0, false, true, "HTTP/1.1 2", 60 * kMs}};
+  fixture.send("a", PlatformFixture::request("a1"));
+  CHECK(fixture.response("a").complete);
+  fixture.run_for(100);
+  fixture.send("b", PlatformFixture::request("b1"));
+  CHECK(fixture.response("b").complete);
+  CHECK(fixture.worker("reader-0").accepted_connections == 2);
+  CHECK(fixture.count_requests("POST") == 4);
 }
 
-// Guards against passing on a longer time limit than the client has left: the time also runs while a request
-// waits behind another one on the client's connection, whether or not it has been read.
+// Guards against sending a worker a longer time limit than the client has left: the time also runs while a
+// request waits behind another one on the client's connection, whether it has been read or not.
 TEST_CASE(
     "the time limit of a request that waited behind another on its connection counts from its arrival") {
   for (const bool read_at_once : {true, false}) {
     CAPTURE(read_at_once);
     json settings = test_settings();
     settings["caps"]["attemptsCap"] = 2;  // each attempt gets all of the time
-    PlatformFixture s(1, 1, settings);
-    s.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 1000 * kMs, true}};
-    RawClient client(s.node->address());
+    PlatformFixture fixture(1, 1, settings);
+    fixture.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 1000 * kMs, true}};
+    RawClient client(fixture.node->address());
     client.write(read_at_once ? PlatformFixture::request("a1") +
                                     PlatformFixture::request("a2", PlatformFixture::request_body(), "3000")
                               : PlatformFixture::request("a1"));
-    s.run_for(100);
+    fixture.run_for(100);
     if (!read_at_once) client.write(PlatformFixture::request("a2", PlatformFixture::request_body(), "3000"));
-    s.run_for(1800);
-    const auto& request_fields = s.worker("reader-0").request_fields;
-    const auto second = std::ranges::find_if(request_fields, [](const std::string& text) {
+    fixture.run_for(1800);
+    const auto& request_fields = fixture.worker("reader-0").request_fields;
+    const auto second_request = std::ranges::find_if(request_fields, [](const std::string& text) {
       return text.find("x-call-id: a2\n") != std::string::npos;
     });
-    REQUIRE(second != request_fields.end());
-    const std::string& fields = *second;
-    const std::size_t at = fields.find("x-budget-ms: ");
-    REQUIRE(at != std::string::npos);
-    const int sent_limit = std::stoi(fields.substr(at + 13));
+    REQUIRE(second_request != request_fields.end());
+    const std::string& fields = *second_request;
+    const std::size_t position = fields.find("x-budget-ms: ");
+    REQUIRE(position != std::string::npos);
+    const int sent_limit = std::stoi(fields.substr(position + 13));
     CHECK(sent_limit <= 3000 - 900);
     CHECK(sent_limit >= 3000 - 1300);
   }
 }
 
-// A worker may be sent up to 150 ms more than the client has left, and the router may be delayed by as much
-// between reading its clock and the write. So the time limit must not exceed what is left when the clock is
-// read, and it has to leave the router time to respond.
+// The time limit sent to a worker may exceed what the client has left by up to 150 ms, but the router may be
+// delayed by as much between reading its clock and the write. So the limit must not exceed what is left when the
+// clock is read, and it has to leave the router time to respond.
 TEST_CASE("the time limit sent to a worker is at most the time left, less the router's own share") {
   json settings = test_settings();
   settings["caps"]["attemptsCap"] = 2;
-  PlatformFixture s(1, 1, settings);
-  s.send("a", PlatformFixture::request("a1", PlatformFixture::request_body(), "1000"));
-  REQUIRE(s.response("a").complete);
+  PlatformFixture fixture(1, 1, settings);
+  fixture.send("a", PlatformFixture::request("a1", PlatformFixture::request_body(), "1000"));
+  REQUIRE(fixture.response("a").complete);
   const auto sent_limit = [&](const std::string& name) {
-    const std::string& fields = s.worker(name).request_fields.at(0);
+    const std::string& fields = fixture.worker(name).request_fields.at(0);
     return std::stoi(fields.substr(fields.find("x-budget-ms: ") + 13));
   };
   CHECK(sent_limit("reader-0") <= 1000 - 10);
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -77,17 +77,15 @@
 
 // Timeouts.
 
-TEST_CASE(
-    "a request that is not complete in time is answered with 408 and its connection is closed without a "
-    "reset") {
+TEST_CASE("a request that is not complete in time gets a 408 and its connection is closed without a reset") {
   const std::string request = PlatformFixture::request("a1");
-  for (const std::size_t part : {std::size_t{30}, request.size() - 5}) {
-    CAPTURE(part);
+  for (const std::size_t first_part_bytes : {std::size_t{30}, request.size() - 5}) {
+    CAPTURE(first_part_bytes);
     PlatformFixture fixture(1, 1);
     RawClient client(fixture.node->address());
-    client.write(request.substr(0, part));
+    client.write(request.substr(0, first_part_bytes));
     fixture.run_for(2900);
-    client.write(request.substr(part));  // crosses the FIN of the router
+    client.write(request.substr(first_part_bytes));  // crosses the FIN of the router
     fixture.run_for(50);
     client.read();
     CHECK(client.text().starts_with("HTTP/1.1 408"));
@@ -140,7 +138,7 @@
 
 // Guards against a stalled client that occupies a worker and a connection and blocks a graceful shutdown for
 // ever.
-TEST_CASE("a client that reads nothing for 4.5 s is disconnected, and its worker is not blamed") {
+TEST_CASE("a client that reads nothing for 4.5 s is disconnected, and its worker still counts as healthy") {
   PlatformFixture fixture(1, 1);
   stream_more_than_buffers(fixture);
   RawClient client(fixture.node->address(), 4096);
@@ -181,21 +179,22 @@
   for (auto& worker : fixture.workers) worker->script.clear();
   RawClient client(fixture.node->address());
   client.write(PlatformFixture::request("b1"));
-  std::size_t events = 0;
-  // The stand-in worker writes an event every 20 ms; each arrives before the next one is written.
-  for (int i = 0; i < 20 && events < 3; ++i) {
+  std::size_t seen_events = 0;
+  // The fake worker writes an event every 20 ms. Each arrives before the next one is written.
+  for (int i = 0; i < 20 && seen_events < 3; ++i) {
     fixture.run_for(20);
     client.read();
-    std::size_t now = 0;
-    for (int k = 0; k < 3; ++k) now += client.text().find(FakeWorker::event(k)) != std::string::npos;
-    CHECK(now <= events + 1);
-    events = now;
+    std::size_t arrived_events = 0;
+    for (int event_index = 0; event_index < 3; ++event_index)
+      arrived_events += client.text().find(FakeWorker::event(event_index)) != std::string::npos;
+    CHECK(arrived_events <= seen_events + 1);
+    seen_events = arrived_events;
   }
-  CHECK(events == 3);
+  CHECK(seen_events == 3);
 }
 
-// A client that stops in the middle of a request gets its error within 3 s, however long its connection was
-// idle before.
+// A client that stops in the middle of a request gets an error within 3 s, however long its connection was idle
+// before.
 TEST_CASE(
     "a partial request on an idle connection is rejected within 3 s of its first byte, but not at once") {
   for (const std::int64_t idle_ms : {100, 2300, 4700}) {
--- a/tests/client_leaves_test.cpp
+++ b/tests/client_leaves_test.cpp
@@ -1,5 +1,4 @@
-// Clients that leave at the moment at which a worker's response reaches the router: one poll of the sockets
-// reports both.
+// Clients that leave just as a worker's response reaches the router: one poll of the sockets reports both.
 #include "kv_hold_monitor.h"
 #include "raw_client.h"
 
@@ -9,18 +8,18 @@
 
 enum class Order { response_first, close_first };
 
-// Sends one request whose client leaves as the worker responds. Whatever it left has to be released within
+// Sends one request whose client leaves as the worker responds, and checks that its KV cache is released within
 // the limit.
-void leave_during_response(PlatformFixture& s, FakeWorker& worker, Order order, int limit_ms) {
-  KvHoldMonitor monitor(s, KvHoldMonitor::Measure::unattended);
-  RawClient client(s.node->address());
+void leave_during_response(PlatformFixture& fixture, FakeWorker& worker, Order order, int limit_ms) {
+  KvHoldMonitor monitor(fixture, KvHoldMonitor::Measure::unattended);
+  RawClient client(fixture.node->address());
   (order == Order::response_first ? worker.after_response : worker.before_response) = [&] { client.close(); };
   client.write(PlatformFixture::request("a1"));
-  s.run_for(3000);
+  fixture.run_for(3000);
   check_longest_hold(monitor, limit_ms * kMs);
-  CHECK(s.kv_entries.empty());
-  CHECK(s.node->host().live_requests() == 0);
-  CHECK(s.node->host().invariants().violations() == 0);
+  CHECK(fixture.kv_entries.empty());
+  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().invariants().violations() == 0);
 }
 
 ScriptedResponse prefill_fails() {
@@ -43,28 +42,30 @@
     for (const Order order : {Order::response_first, Order::close_first}) {
       CAPTURE(limit_ms);
       CAPTURE(static_cast<int>(order));
-      PlatformFixture s(1, 1, settings_with_hold_limit(limit_ms));
-      warm_up(s);
-      FakeWorker& prefill = s.worker("reader-0");
-      FakeWorker& decode = s.worker("writer-0");
-      SUBCASE("the prefill succeeds") { leave_during_response(s, prefill, order, limit_ms); }
+      PlatformFixture fixture(1, 1, settings_with_hold_limit(limit_ms));
+      warm_up(fixture);
+      FakeWorker& prefill_worker = fixture.worker("reader-0");
+      FakeWorker& decode_worker = fixture.worker("writer-0");
+      SUBCASE("the prefill succeeds") { leave_during_response(fixture, prefill_worker, order, limit_ms); }
       SUBCASE("the prefill fails") {
-        prefill.script = {prefill_fails()};
-        leave_during_response(s, prefill, order, limit_ms);
+        prefill_worker.script = {prefill_fails()};
+        leave_during_response(fixture, prefill_worker, order, limit_ms);
       }
       SUBCASE("the connection of the prefill closes") {
-        prefill.script = {prefill_closes()};
-        leave_during_response(s, prefill, order, limit_ms);
+        prefill_worker.script = {prefill_closes()};
+        leave_during_response(fixture, prefill_worker, order, limit_ms);
       }
       SUBCASE("the decode attempt is rejected") {
-        decode.script = {decode_rejects()};
-        leave_during_response(s, decode, order, limit_ms);
+        decode_worker.script = {decode_rejects()};
+        leave_during_response(fixture, decode_worker, order, limit_ms);
       }
       SUBCASE("the connection of the decode attempt is reset") {
-        decode.script = {decode_resets()};
-        leave_during_response(s, decode, order, limit_ms);
+        decode_worker.script = {decode_resets()};
+        leave_during_response(fixture, decode_worker, order, limit_ms);
+      }
+      SUBCASE("the decode attempt starts its stream") {
+        leave_during_response(fixture, decode_worker, order, limit_ms);
       }
-      SUBCASE("the decode attempt starts its stream") { leave_during_response(s, decode, order, limit_ms); }
     }
 }
 
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -1,5 +1,5 @@
-// System calls that fail in the ways that Linux documents, with real connections over loopback and on
-// simulated time. The fault shim is linked in, and a fault is active only while the event loop runs.
+// System calls that fail in the ways that Linux documents, with real connections over loopback and in simulated
+// time. The fault shim is linked in, and a fault is active only while the event loop runs.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <chrono>
 
@@ -221,17 +221,18 @@
   }
 }
 
-// An exception ends the request that it comes from: its client gets a response, and other requests are
-// served.
+// An exception ends only the request that it comes from: its client gets a 500 response.
 TEST_CASE("a handler that throws ends its own request alone, and the failure is reported") {
   io::Loop loop(io::Loop::Clock::simulated);
   std::vector<std::string> failures;
   loop.observe_failures({}, [&](const char* what) { failures.emplace_back(what); });
-  http::Server server(loop, kAnyPort, [](http::Request& request, http::ResponseWriter& answer) -> io::Task<> {
-    if (request.head.target == "/throws") throw std::runtime_error("no reason");
-    co_await answer.respond(200, "", "fine");
-  });
-  RawClient failing_client(server.address()), other_client(server.address());
+  http::Server server(loop, kAnyPort,
+                      [](http::Request& request, http::ResponseWriter& response) -> io::Task<> {
+                        if (request.head.target == "/throws") throw std::runtime_error("no reason");
+                        co_await response.respond(200, "", "fine");
+                      });
+  RawClient failing_client(server.address());
+  RawClient other_client(server.address());
   failing_client.write("GET /throws HTTP/1.1\r\nHost: h\r\n\r\n");
   other_client.write("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   run_for(loop, 100);
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -1,21 +1,17 @@
-// Guards against KV cache that a prefill worker holds beyond its limit: neither fetched by a decode worker
-// nor released, while links are silent, workers hang or responses are lost. The router's log showed its
-// releases as confirmed, or none at all.
+// Guards against KV cache that stays at a prefill worker beyond the hold limit, neither fetched nor released,
+// although the router's log shows its releases as confirmed, or shows none. Cause: the router took an event on
+// its own side (a write, a close, a timeout, a confirmed release, the start or the end of a response) for what
+// had happened to an attempt at another machine. The cases:
 // 1. A prefill's response is lost on a connection that stays open. As prefills were slow before, the router
-//    takes it for one that is merely slow, and sends no release until the attempt times out.
-// 2. A decode attempt arrives at its worker, and its link falls silent. The router abandons the attempt and
-//    sends releases, which other workers confirm; they free nothing, as the decode worker still waits for the
-//    KV cache. The end of the attempt reaches the decode worker later, and no release follows.
-// 3. Parallel prefills are active, one of them behind a silent link; the KV cache of the other is fetched.
-//    The link recovers and the prefill behind it ends as well; the router sends no release, as it takes the
-//    stream, whose end was lost, for an attempt that is still active.
-// 4. A response reaches the router long after its attempt ended at the worker, and the limit is counted anew
-//    from there.
-// Cause: the router took an event on its own side (a write, a close, a timeout, a confirmed release, the
-// start or the arrival of a response) for what had happened to an attempt at another machine.
-// Evidence: worker records in which each release arrived before the end of the attempt's connection and none
-// after it; worker records in which a prefill's end and the first release lie further apart than the limit,
-// where the router's trace of the request says "maybe_held" throughout.
+//    assumes that this one still runs, and sends no release until the attempt times out.
+// 2. A decode attempt waits at its worker behind a silent link. The router abandons it and sends releases, which
+//    other workers confirm, but which free nothing while it waits. It ends later, and no release follows.
+// 3. Of two parallel prefills, one is behind a silent link, and the KV cache of the other is fetched. The link
+//    recovers and the first one ends as well. The router sends no release, as the end of the stream was lost
+//    and it takes the stream for an attempt that is still active.
+// 4. A response arrives long after its attempt ended at the worker, and the router counts the limit from there.
+// Evidence in worker records: no release follows the end of the attempt's connection, or the first release comes
+// more than the limit after the prefill's end, while the router's trace of the request says "maybe_held".
 #include "kv_hold_monitor.h"
 
 namespace cressrill::testing {
@@ -24,21 +20,21 @@
 
 using Measure = KvHoldMonitor::Measure;
 
-// The prefill ends after that time, and its response is lost.
-ScriptedResponse response_lost(io::Nanos delay) {
+// The prefill ends after `delay`, and its response is lost.
+ScriptedResponse lost_response(io::Nanos delay) {
   return {"", ScriptedResponse::Finish::hang, delay, false, true};
 }
-// The attempt ends at its worker after that time, and the router gets no sign of it.
+// The attempt ends at its worker after `delay`, and the router does not notice.
 ScriptedResponse end_silently(io::Nanos delay) { return {"", ScriptedResponse::Finish::end_silently, delay}; }
 // The stream starts, and its end is lost.
-ScriptedResponse stream_end_lost() {
+ScriptedResponse lost_stream_end() {
   return {.response = FakeWorker::stream_head() + FakeWorker::chunked(FakeWorker::event(0)),
           .finish = ScriptedResponse::Finish::end_silently,
           .delay = 20 * kMs,
           .takes_kv = true};
 }
-// The response arrives that long after the prefill ended.
-ScriptedResponse prefill_response_late(io::Nanos late_delay) {
+// The response arrives `late_delay` after the prefill ended.
+ScriptedResponse late_prefill_response(io::Nanos late_delay) {
   return {.response = "",
           .delay = 20 * kMs,
           .use_default = false,
@@ -46,30 +42,32 @@
           .late_response = http::format_response(202, "", "{\"cached_tokens\":128}", true),
           .late_delay = late_delay};
 }
-// The worker rejects the attempt, and its response arrives that long afterwards.
-ScriptedResponse rejection_late(io::Nanos late_delay) {
+// The worker rejects the attempt, and its response arrives `late_delay` later.
+ScriptedResponse late_rejection(io::Nanos late_delay) {
   return {.response = "",
           .finish = ScriptedResponse::Finish::end_silently,
           .delay = 20 * kMs,
           .late_response = http::format_response(503, "X-Rejected: 1\r\n", "", true),
           .late_delay = late_delay};
 }
-ScriptedResponse slow(io::Nanos delay) { return {"", ScriptedResponse::Finish::keep_alive, delay, true}; }
+ScriptedResponse slow_response(io::Nanos delay) {
+  return {"", ScriptedResponse::Finish::keep_alive, delay, true};
+}
 
 // Scripts the next responses of all prefill workers, or of all decode workers.
-void script(PlatformFixture& fixture, bool is_prefill, const ScriptedResponse& response,
-            std::size_t count = 20) {
+void script_workers(PlatformFixture& fixture, bool is_prefill, const ScriptedResponse& response,
+                    std::size_t count = 20) {
   for (auto& worker : fixture.workers)
     if (worker->is_prefill == is_prefill) worker->script = std::deque<ScriptedResponse>(count, response);
 }
-// Lets the router learn that attempts of that stage take that long.
-void learn_slow(PlatformFixture& fixture, bool is_prefill, io::Nanos duration) {
+// Lets the router learn that attempts of one stage take `duration`.
+void learn_slow_attempts(PlatformFixture& fixture, bool is_prefill, io::Nanos duration) {
   warm_up(fixture);
-  script(fixture, is_prefill, slow(duration), 3);
+  script_workers(fixture, is_prefill, slow_response(duration), 3);
   for (int i = 0; i < 6; ++i)
     fixture.send("slow" + std::to_string(i), PlatformFixture::request("s" + std::to_string(i)));
   for (int i = 0; i < 6; ++i) REQUIRE(fixture.response("slow" + std::to_string(i)).status == 200);
-  script(fixture, is_prefill, {}, 0);
+  script_workers(fixture, is_prefill, {}, 0);
   fixture.run_for(100);
 }
 void silence_links(PlatformFixture& fixture, bool is_prefill, bool silent = true) {
@@ -82,7 +80,7 @@
   CHECK(fixture.kv_entries.empty());
 }
 
-// Prefills were slow before and now end at once; the responses of three of four prefill workers are lost on
+// Prefills were slow before and now take 30 ms. The responses of three of the four prefill workers are lost on
 // connections that stay open.
 void check_lost_responses(const char* effect) {
   for (const int limit_ms : {300, 500, 1000})
@@ -95,8 +93,8 @@
         settings["services"][0]["effect"] = effect;
         PlatformFixture fixture(4, 4, settings);
         // A release may discard a prefill that takes longer than the limit.
-        learn_slow(fixture, true, std::min(400, limit_ms) * kMs);
-        script(fixture, true, response_lost(30 * kMs));
+        learn_slow_attempts(fixture, true, std::min(400, limit_ms) * kMs);
+        script_workers(fixture, true, lost_response(30 * kMs));
         fixture.worker("reader-3").script.clear();
         KvHoldMonitor monitor(fixture, Measure::unattended);
         SUBCASE("the client waits") { send_requests(fixture, 12, "3000"); }
@@ -123,13 +121,13 @@
     CAPTURE(learned_ms);
     PlatformFixture fixture(1, 1, settings_with_hold_limit(1000));
     warm_up(fixture);
-    script(fixture, true, slow(learned_ms * kMs), 6);
+    script_workers(fixture, true, slow_response(learned_ms * kMs), 6);
     for (int i = 0; i < 6; ++i) {
       fixture.send("slow" + std::to_string(i), PlatformFixture::request("s" + std::to_string(i)));
       fixture.run_for(20);
     }
     fixture.run_for(3000);
-    script(fixture, true, response_lost(10 * kMs));
+    script_workers(fixture, true, lost_response(10 * kMs));
     KvHoldMonitor monitor(fixture, Measure::unattended);
     send_requests(fixture, 1, "4800");
     fixture.run_for(9000);
@@ -150,10 +148,10 @@
     SUBCASE("a decode attempt waits behind a silent link after its request has ended") {
       PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms, false, false));
       warm_up(fixture);
-      script(fixture, false, end_silently(2400 * kMs));
+      script_workers(fixture, false, end_silently(2400 * kMs));
       KvHoldMonitor monitor(fixture, Measure::unattended);
       send_requests(fixture, 4, "1200");
-      // The attempts wait at their workers, which the close of their connections does not reach.
+      // The attempts wait at their workers, as the close of their connections does not arrive there.
       silence_links(fixture, false);
       fixture.run_for(2500);
       silence_links(fixture, false, false);
@@ -163,7 +161,7 @@
     SUBCASE("a decode attempt waits on a silent connection, while others work, after its request has ended") {
       PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms, false, false));
       warm_up(fixture);
-      script(fixture, false, end_silently(4000 * kMs));
+      script_workers(fixture, false, end_silently(4000 * kMs));
       KvHoldMonitor monitor(fixture, Measure::unattended);
       send_requests(fixture, 2, "800");
       fixture.run_for(4200 + limit_ms);
@@ -171,8 +169,8 @@
     }
     SUBCASE("a decode attempt ends at its worker while the router still waits for its response") {
       PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms));
-      learn_slow(fixture, false, 1500 * kMs);
-      script(fixture, false, end_silently(600 * kMs));
+      learn_slow_attempts(fixture, false, 1500 * kMs);
+      script_workers(fixture, false, end_silently(600 * kMs));
       KvHoldMonitor monitor(fixture, Measure::unattended);
       send_requests(fixture, 4, "4800");
       fixture.run_for(8000);
@@ -205,11 +203,11 @@
       PlatformFixture fixture(1, 2, settings_with_hold_limit(limit_ms));
       warm_up(fixture);
       fixture.worker("reader-0").script = always_reject();
-      fixture.worker("reader-0").script.push_front(response_lost(20 * kMs));
+      fixture.worker("reader-0").script.push_front(lost_response(20 * kMs));
       for (auto& worker : fixture.workers) worker->ignores_releases = true;
       KvHoldMonitor monitor(fixture, Measure::unattended);
       send_requests(fixture, 1, "3000");
-      // The requests of warm_up(), the lost prefill and a rejected one.
+      // The attempts of warm_up(), the prefill whose response is lost, and a rejected one.
       REQUIRE(fixture.run_until([&] { return fixture.count_requests("POST") >= 9; }));
       fixture.run_for(60);
       for (auto& worker : fixture.workers) worker->ignores_releases = false;
@@ -219,7 +217,7 @@
     SUBCASE("the process shuts down while a decode attempt waits behind a silent link") {
       PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms, false, false));
       warm_up(fixture);
-      script(fixture, false, end_silently(1800 * kMs));
+      script_workers(fixture, false, end_silently(1800 * kMs));
       KvHoldMonitor monitor(fixture, Measure::unattended);
       send_requests(fixture, 2, "800");
       silence_links(fixture, false);
@@ -247,7 +245,7 @@
     CAPTURE(limit_ms);
     PlatformFixture fixture(2, 2, settings_with_hold_limit(limit_ms, true, false));
     warm_up(fixture);
-    script(fixture, false, stream_end_lost());
+    script_workers(fixture, false, lost_stream_end());
     fixture.worker("reader-0").link_silent = true;
     KvHoldMonitor monitor(fixture, Measure::unattended);
     send_requests(fixture, 4, "4800");
@@ -269,11 +267,11 @@
       warm_up(fixture);
       KvHoldMonitor monitor(fixture, Measure::unattended);
       SUBCASE("a prefill, and the links to decode workers are silent") {
-        script(fixture, true, prefill_response_late(late_delay));
+        script_workers(fixture, true, late_prefill_response(late_delay));
         silence_links(fixture, false);
       }
       SUBCASE("a decode attempt that is rejected, and the links to decode workers fall silent") {
-        script(fixture, false, rejection_late(late_delay));
+        script_workers(fixture, false, late_rejection(late_delay));
         send_requests(fixture, 4, "4800");
         fixture.run_for(60);
         silence_links(fixture, false);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,12 +1,12 @@
-// Tests that need the router as a process: a start while the previous process is still shutting down, a
-// configuration file that is being written, and a log that cannot be written.
+// Tests that need the router as a process: a start while another process still has its address, a configuration
+// file that is still being written, and a log that cannot be written.
 #include <fcntl.h>
 
 #include "router_process.h"
 
 namespace cressrill::testing {
 
-TEST_CASE("the program: waits for an address that is still taken, and then serves") {
+TEST_CASE("the program: waits for an address that is still in use, and then serves") {
   RouterProcess router;
   auto old_listener = std::make_unique<io::Listener>(router.loop, router.address);
   router.start();
@@ -49,13 +49,13 @@
     RouterProcess router;
     const std::string fifo = router.config_path + ".fifo";
     REQUIRE(::mkfifo(fifo.c_str(), 0600) == 0);
-    int reader = ::open(fifo.c_str(), O_RDONLY | O_NONBLOCK);
-    REQUIRE(reader >= 0);
-    ::fcntl(reader, F_SETPIPE_SZ, 4096);
+    int pipe_reader = ::open(fifo.c_str(), O_RDONLY | O_NONBLOCK);
+    REQUIRE(pipe_reader >= 0);
+    ::fcntl(pipe_reader, F_SETPIPE_SZ, 4096);
     const bool full_disk = std::string_view(log_kind) == "full disk";
     router.start("debug", full_disk ? "/dev/full" : fifo);
     REQUIRE(router.wait_until_ready());
-    if (std::string_view(log_kind) == "its reader has gone") ::close(std::exchange(reader, -1));
+    if (std::string_view(log_kind) == "its reader has gone") ::close(std::exchange(pipe_reader, -1));
     // Each request logs some lines: more in all than the pipe holds.
     for (int i = 0; i < 25; ++i) {
       CAPTURE(i);
@@ -65,14 +65,14 @@
     if (std::string_view(log_kind) == "nobody reads") {
       std::string text;
       std::array<char, 64 * 1024> buffer;
-      for (ssize_t n; (n = ::read(reader, buffer.data(), buffer.size())) > 0;)
-        text.append(buffer.data(), static_cast<std::size_t>(n));
+      for (ssize_t bytes; (bytes = ::read(pipe_reader, buffer.data(), buffer.size())) > 0;)
+        text.append(buffer.data(), static_cast<std::size_t>(bytes));
       REQUIRE(router.send(PlatformFixture::request("last")).head.status == 200);
-      for (ssize_t n; (n = ::read(reader, buffer.data(), buffer.size())) > 0;)
-        text.append(buffer.data(), static_cast<std::size_t>(n));
+      for (ssize_t bytes; (bytes = ::read(pipe_reader, buffer.data(), buffer.size())) > 0;)
+        text.append(buffer.data(), static_cast<std::size_t>(bytes));
       CHECK(text.find("\"event\":\"log lines lost\"") != std::string::npos);
     }
-    if (reader >= 0) ::close(reader);
+    if (pipe_reader >= 0) ::close(pipe_reader);
     std::remove(fifo.c_str());
   }
 }
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -5,7 +5,7 @@
 namespace cressrill::testing {
 
 // Guards against KV cache that stays held because the only process that knew of it has exited (rule 5).
-TEST_CASE("a process that is told to end waits until a worker has received the release of held KV cache") {
+TEST_CASE("a process that shuts down waits until a worker has received the release of held KV cache") {
   PlatformFixture fixture(1, 1);
   fixture.worker("writer-0").script = always_reject();
   fixture.send("a", PlatformFixture::request("a1"));
@@ -88,7 +88,7 @@
           worker->silent_connections = worker->accepted_connections;
         }
       fixture.run_for(160);
-      for (auto& worker : fixture.workers) {  // new connections to one of them work
+      for (auto& worker : fixture.workers) {  // new connections to writer-1 work
         worker->link_silent = worker->name != "writer-1";
         worker->silent_connections = worker->link_silent ? 0 : worker->accepted_connections;
       }
@@ -99,7 +99,7 @@
 }
 
 // Guards against a reset of a connection that the kernel has accepted and whose request nobody reads.
-TEST_CASE("a connection that the kernel accepted before the listener closes is answered") {
+TEST_CASE("a connection that the kernel accepted before the listener closes gets a response") {
   PlatformFixture fixture(1, 1);
   RawClient client(fixture.node->address());
   client.write(PlatformFixture::request("a1"));
@@ -126,14 +126,14 @@
 TEST_CASE("a partly received request as connections are drained: the rest is read, and it is served") {
   PlatformFixture fixture(1, 1);
   const std::string request = PlatformFixture::request("a1");
-  for (const std::size_t part : {std::size_t{40}, request.size() - 5}) {
-    CAPTURE(part);
+  for (const std::size_t first_part_bytes : {std::size_t{40}, request.size() - 5}) {
+    CAPTURE(first_part_bytes);
     RawClient client(fixture.node->address());
-    client.write(request.substr(0, part));
+    client.write(request.substr(0, first_part_bytes));
     fixture.run_for(20);
     fixture.node->drain();
     fixture.run_for(20);
-    client.write(request.substr(part));
+    client.write(request.substr(first_part_bytes));
     fixture.run_for(400);
     client.read();
     CHECK(is_complete_stream(client.text()));
@@ -190,22 +190,23 @@
 
 // Guards against a connection that closes without a response to a request that was read together with the one
 // before it.
-TEST_CASE("requests that were read behind another one as the process drains or closes are all answered") {
-  for (const bool closing : {false, true}) {
-    CAPTURE(closing);
+TEST_CASE("requests that were read behind another one as the process drains or closes all get a response") {
+  for (const bool process_closes : {false, true}) {
+    CAPTURE(process_closes);
     PlatformFixture fixture(1, 1);
     fixture.worker("writer-0").script = {{"", ScriptedResponse::Finish::keep_alive, 200 * kMs, true}};
     RawClient client(fixture.node->address());
     client.write(PlatformFixture::request("a1") + PlatformFixture::request("a2") +
                  PlatformFixture::request("a3").substr(0, 50));
     fixture.run_for(100);
-    closing ? fixture.node->close() : fixture.node->drain();
+    process_closes ? fixture.node->close() : fixture.node->drain();
     fixture.run_for(400);
     client.write(PlatformFixture::request("a3").substr(50));
     fixture.run_for(500);
     client.read();
     std::size_t responses = 0;
-    for (std::size_t at = 0; (at = client.text().find("HTTP/1.1 ", at)) != std::string::npos; ++at)
+    for (std::size_t position = 0;
+         (position = client.text().find("HTTP/1.1 ", position)) != std::string::npos; ++position)
       ++responses;
     CHECK(responses == 3);
     CHECK(client.text().starts_with("HTTP/1.1 200"));
@@ -214,8 +215,8 @@
   }
 }
 
-// Guards against reading a request that can no longer be answered. Left unread, the kernel resets the
-// connection, and the client sends the request again.
+// Guards against reading a request that can no longer get a response. If it is left unread, the kernel resets
+// the connection, and the client sends the request again.
 TEST_CASE("a request that arrives after its connection was closed is not read") {
   // Closed between two requests, or after a response that closes it.
   for (const bool between_requests : {true, false}) {
--- a/tests/silent_link_test.cpp
+++ b/tests/silent_link_test.cpp
@@ -1,6 +1,6 @@
 // Guards against KV cache that is neither fetched nor released within its limit while links are silent,
-// whatever attempts are active on them (issue 37). On a silent link connections stay open, new ones are
-// accepted, and nothing that is written arrives.
+// whichever attempts are active on them (issue 37). On a silent link, connections stay open and new ones are
+// accepted, but no data arrives.
 #include "kv_hold_monitor.h"
 
 namespace cressrill::testing {
@@ -113,7 +113,7 @@
   }
 }
 
-// Each stage has one attempt, which the router waits for until the client's deadline.
+// Each stage has one attempt only, for which the router waits until the client's deadline.
 TEST_CASE("many workers, idle connections to all of them silent, new ones not: a release arrives in time") {
   for (const int limit_ms : {300, 500, 1000}) {
     CAPTURE(limit_ms);
@@ -153,15 +153,15 @@
     PlatformFixture fixture(20, 20, settings, 1024);
     warm_up(fixture, 200);
     KvHoldMonitor monitor(fixture, KvHoldMonitor::Measure::unattended);
-    const auto silence = [&fixture](bool is_prefill) {
-      std::size_t count = 0;
+    const auto silence_four_in_five = [&fixture](bool is_prefill) {
+      std::size_t index = 0;
       for (auto& worker : fixture.workers)
-        if (worker->is_prefill == is_prefill) worker->link_silent = ++count % 5 != 0;
+        if (worker->is_prefill == is_prefill) worker->link_silent = ++index % 5 != 0;
     };
-    silence(false);
+    silence_four_in_five(false);
     SUBCASE("decode attempts are active there") {
       send_requests(fixture, 6, "4800");
-      silence(true);
+      silence_four_in_five(true);
     }
     SUBCASE("prefill responses are lost") {
       for (auto& worker : fixture.workers)
@@ -169,7 +169,7 @@
           worker->script =
               std::deque<ScriptedResponse>(20, {"", ScriptedResponse::Finish::hang, 20 * kMs, false, true});
       send_requests(fixture, 6, "4800");
-      silence(true);
+      silence_four_in_five(true);
     }
     fixture.run_for(6000);
     check_longest_hold(monitor, limit_ms * kMs);
@@ -195,7 +195,7 @@
 }
 
 TEST_CASE(
-    "links recover and deliver what was buffered: no KV cache stays held, and each request is answered") {
+    "links recover and deliver what was buffered: no KV cache stays held, and each request gets a response") {
   for (const int silent_ms : {150, 700, 1500, 2500}) {
     CAPTURE(silent_ms);
     PlatformFixture fixture(2, 2, settings_with_hold_limit(500));
@@ -221,8 +221,7 @@
   for (auto& worker : fixture.workers) worker->link_silent = true;
   fixture.run_for(3000);
   REQUIRE(!fixture.kv_entries.empty());
-  // The invariant counts confirmed releases. None was confirmed, so it is known to be violated, whatever was
-  // written.
+  // The invariant counts confirmed releases only. None was confirmed, so it must be reported as violated.
   CHECK(fixture.node->host().invariants().violations(core::Invariant::kv_released_in_time) > 0);
   for (auto& worker : fixture.workers) {
     worker->link_silent = false;
@@ -282,19 +281,19 @@
   CHECK(fixture.kv_entries.empty());
 }
 
-// Guards against early releases where links are slow but not silent.
+// Guards against releases that are too early where workers are slow but links are not silent.
 TEST_CASE(
-    "decode workers that are slow and not silent: no prefill runs twice, and each request is answered") {
+    "decode workers that are slow and not silent: no prefill runs twice, and each request gets a response") {
   PlatformFixture fixture(2, 2, settings_with_hold_limit(500));
   warm_up(fixture);
-  const std::size_t before = fixture.count_requests("POST");
+  const std::size_t attempts_before = fixture.count_requests("POST");
   for (auto& worker : fixture.workers)
     if (!worker->is_prefill)
       worker->script = {{"", ScriptedResponse::Finish::keep_alive, 400 * kMs, true},
                         {"", ScriptedResponse::Finish::keep_alive, 400 * kMs, true}};
   send_requests(fixture, 2, "4800");
   for (int i = 0; i < 2; ++i) CHECK(fixture.response("a" + std::to_string(i)).status == 200);
-  CHECK(fixture.count_requests("POST") == before + 4);
+  CHECK(fixture.count_requests("POST") == attempts_before + 4);
 }
 
 }  // namespace cressrill::testing
--- a/tests/spoilt_answer_test.cpp
+++ b/tests/spoilt_answer_test.cpp
@@ -1,8 +1,7 @@
-// Guards against KV cache that stays held where a prefill ended well at its worker and its response was
-// corrupted on the way (truncated, garbage, another status, without an end): it was neither fetched nor
-// released within its limit.
-// Checked: whatever the response, the KV cache is gone within the limit and 300 ms, counted from the
-// prefill's end at its worker, and each client that stays gets one complete response by its deadline.
+// Guards against KV cache that is neither fetched nor released within its limit, where a prefill succeeded at its
+// worker but its response was corrupted on the way (truncated, garbage, another status, without an end).
+// Checked for every response: the KV cache is gone within the limit and 300 ms, counted from the prefill's end at
+// its worker, and each client that stays gets one complete response by its deadline and 500 ms.
 #include "kv_hold_monitor.h"
 #include "raw_client.h"
 
@@ -12,7 +11,7 @@
 
 constexpr io::Nanos kPrefillTime = 20 * kMs;
 constexpr int kBudgetMs = 2500;
-constexpr int kResponseSlackMs = 500;  // a response may arrive that long after the deadline
+constexpr int kResponseSlackMs = 500;  // a response may arrive that many ms after the deadline
 constexpr int kSlowPrefillMs = 400;
 constexpr std::size_t kSampleInterval = 499;  // runs one in 499 scenarios, others for each response
 
@@ -23,7 +22,7 @@
   ScriptedResponse::Finish finish{ScriptedResponse::Finish::hang};
   std::string late_text{};  // sent `late_delay` after `text`
   io::Nanos late_delay{};
-  bool silent{};  // gives no sign that the prefill has ended
+  bool silent{};  // does not show that the prefill has ended
 };
 
 const std::string kPrefillBody = "{\"cached_tokens\":128}";
@@ -35,7 +34,7 @@
 
 std::string valid_response() { return http::format_response(202, "", kPrefillBody, true); }
 
-// Truncated responses, each on a connection that stays open, is closed in order, or is reset.
+// Truncated or malformed responses, each on a connection that stays open, is closed, or is reset.
 std::vector<CorruptResponse> truncated_responses() {
   struct Text {
     std::string name;
@@ -67,7 +66,7 @@
   return responses;
 }
 
-// Complete responses that contradict what happened, without those that promise that nothing ran.
+// Complete responses that contradict what happened, except those that state that the prefill never ran.
 std::vector<CorruptResponse> misleading_responses() {
   std::vector<CorruptResponse> responses{
       {"202, unreadable body", http::format_response(202, "", "\xff{]no json", true),
@@ -103,12 +102,12 @@
   const char* effect{};
   bool slow{};  // prefills were slow before
   ClientBehavior client{};
-  bool all{};  // all prefill responses are corrupt; otherwise the first one of each worker
+  bool all_corrupt{};  // all prefill responses are corrupt; if false, the first one of each worker
 
   std::string to_string() const {
     return fmt::format("limit {} ms, cap {}, parallel {}, cancelling {}, {}, slow {}, client {}, all {}",
                        limit_ms, attempts_cap, parallel, cancelling, effect, slow, static_cast<int>(client),
-                       all);
+                       all_corrupt);
   }
   json to_json() const {
     json settings = settings_with_hold_limit(limit_ms, parallel, cancelling);
@@ -123,15 +122,16 @@
 template <class Callback>
 void for_each_scenario(Callback callback) {
   for (const int limit_ms : {300, 500, 1000})
-    for (const int cap : {2, 3, 4, 5, 6})
+    for (const int attempts_cap : {2, 3, 4, 5, 6})
       for (const bool parallel : {true, false})
         for (const bool cancelling : {true, false})
           for (const char* effect : {"retryable", "dedup", "fragile"})
             for (const bool slow : {false, true})
               for (const ClientBehavior client :
                    {ClientBehavior::stays, ClientBehavior::shuts_down_write, ClientBehavior::leaves})
-                for (const bool all : {false, true})
-                  callback(Scenario{limit_ms, cap, parallel, cancelling, effect, slow, client, all});
+                for (const bool all_corrupt : {false, true})
+                  callback(Scenario{limit_ms, attempts_cap, parallel, cancelling, effect, slow, client,
+                                    all_corrupt});
 }
 
 void script_prefills(PlatformFixture& fixture, const ScriptedResponse& response, std::size_t count) {
@@ -181,7 +181,7 @@
                                   .leaves_kv = true,
                                   .late_response = corrupt.late_text,
                                   .late_delay = corrupt.late_delay};
-  script_prefills(fixture, response, scenario.all ? kMaxAttempts : 1);
+  script_prefills(fixture, response, scenario.all_corrupt ? kMaxAttempts : 1);
   KvHoldMonitor monitor(fixture, KvHoldMonitor::Measure::unattended);
   const std::string request =
       PlatformFixture::request("a1", PlatformFixture::request_body(), std::to_string(kBudgetMs));
@@ -194,8 +194,8 @@
   CHECK(fixture.node->host().invariants().violations() == 0);
 }
 
-// Runs one in kSampleInterval scenarios. Left out: silent responses where prefills are slow, as the router
-// takes silence for one more slow prefill (KNOWN-RED.txt: "a prefill whose answer is lost").
+// Runs one in kSampleInterval scenarios. Silent responses after slow prefills are left out, as the router takes
+// such silence for one more slow prefill (KNOWN-RED.txt: "a prefill whose answer is lost").
 void run_sample(const std::vector<CorruptResponse>& responses) {
   std::size_t count = 0;
   for (const CorruptResponse& corrupt : responses)
@@ -207,7 +207,7 @@
 
 }  // namespace
 
-TEST_CASE("a prefill that ended is answered 400 or 404: its KV cache is released within the limit") {
+TEST_CASE("a prefill that ended gets a 400 or 404 response: its KV cache is released within the limit") {
   for (const int status : {400, 404})
     for (const int limit_ms : {300, 1000})
       for (const ClientBehavior client :
@@ -226,13 +226,14 @@
                                  ClientBehavior::stays, false});
 }
 
-TEST_CASE("a prefill response is truncated: the KV cache is released, and the client is answered in time") {
+TEST_CASE(
+    "a prefill response is truncated: the KV cache is released, and the client gets a response in time") {
   run_sample(truncated_responses());
 }
 
 TEST_CASE(
-    "a prefill response contradicts what happened: the KV cache is released, and the client is answered in "
-    "time") {
+    "a prefill response contradicts what happened: the KV cache is released, and the client gets a "
+    "response in time") {
   run_sample(misleading_responses());
 }
 
