--- a/rig/model/hold_explorer.h
+++ b/rig/model/hold_explorer.h
@@ -1,5 +1,5 @@
-// Searches HoldModel for an order of events that breaks the hold rule: breadth first up to a given depth, or by
-// seeded random walks. A counterexample is minimized before it is returned.
+// Searches HoldModel for an order of events that breaks the hold rule: breadth first up to a given depth, or
+// by seeded random walks. A counterexample is minimized before it is returned.
 #pragma once
 
 #include <cstdint>
--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -197,7 +197,7 @@
   if (attempt.given_up_at != kNever) end_at_worker(attempt);
 }
 
-// The worker sends its answer, which ends the attempt there unless it is the start of a stream.
+// The worker sends its response, which ends the attempt there unless it is the start of a stream.
 void HoldModel::send_response(Attempt& attempt, Response response) {
   attempt.response = response;
   attempt.response_sent_at = now_;
@@ -248,8 +248,8 @@
     record_attempt(attempt.is_prefill ? HoldEvent::prefill_lost : HoldEvent::decode_lost, attempt_index);
 }
 
-// A release arrives at the reachable worker. It also makes running prefills leave no KV cache. KV cache that a
-// decode attempt waits for is not freed.
+// A release arrives at the reachable worker. It also makes running prefills leave no KV cache. KV cache that
+// a decode attempt waits for is not freed.
 void HoldModel::release_arrives() {
   release_.arrived = true;
   release_.arrived_at = now_;
--- a/rig/model/hold_model.h
+++ b/rig/model/hold_model.h
@@ -1,14 +1,14 @@
-// A model, in simulated time, of one request whose KV cache may be held at a worker. It consists of the workers,
-// the links to them and a router that drives KvHold as KvReleaser does. The caller picks each next event, so
-// that a search can try every order of events. The model is written from the description of the protocol, not
-// from the router's code, and does no I/O.
+// A model, in simulated time, of one request whose KV cache may be held at a worker. It consists of the
+// workers, the links to them and a router that drives KvHold as KvReleaser does. The caller picks each next
+// event, so that a search can try every order of events. The model is written from the description of the
+// protocol, not from the router's code, and does no I/O.
 //
 // Assumptions:
 // - A further worker, which only takes release calls, stays reachable throughout; without a reachable worker
 //   nothing could be released.
 // - A prefill runs at least for its expected run time.
-// - Once a silent link recovers, the bytes that it delayed arrive within the time for which they were delayed,
-//   and the link does not fall silent again before that.
+// - Once a silent link recovers, the bytes that it delayed arrive within the time for which they were
+//   delayed, and the link does not fall silent again before that.
 // - If the router gives up an attempt before its request has arrived, the close of the connection arrives
 //   directly after the request, before the worker has acted on it.
 #pragma once
@@ -38,13 +38,13 @@
   prefill_ends,     // the worker holds the KV cache and sends its response
   prefill_fails,    // the worker holds some KV cache and sends an error
   prefill_refused,  // the worker sends a refusal without running the prefill
-  decode_starts,  // the worker takes the KV cache and sends the start of its response, or an error if none is held
-  decode_refused,           // the worker sends a refusal
-  decode_breaks,            // the worker closes the connection without a response
-  stream_ends,              // the stream ends at the worker; the router is not notified
-  answer_arrives,           // the worker's response, or its start, arrives at the router
-  close_arrives,            // the router's close of the connection arrives at the worker
-  router_gives_up,          // the router stops waiting for the attempt
+  decode_starts,    // the worker takes the KV cache and starts its response, or sends an error without it
+  decode_refused,   // the worker sends a refusal
+  decode_breaks,    // the worker closes the connection without a response
+  stream_ends,      // the stream ends at the worker; the router is not notified
+  answer_arrives,   // the worker's response, or its start, arrives at the router
+  close_arrives,    // the router's close of the connection arrives at the worker
+  router_gives_up,  // the router stops waiting for the attempt
   connection_falls_silent,  // permanently, in both directions; other connections to its worker still work
   link_falls_silent,        // in both directions, for all connections to `worker`
   link_passes,              // the link to `worker` recovers
--- a/rig/soak/cue.h
+++ b/rig/soak/cue.h
@@ -1,5 +1,5 @@
-// Notifies the clients of a soak, by UDP datagrams over loopback, that a worker is responding, so that some of
-// them can leave at exactly that time.
+// Notifies the clients of a soak, by UDP datagrams over loopback, that a worker is responding, so that some
+// of them can leave at exactly that time.
 #pragma once
 
 #include <functional>
--- a/tests/attempt_begin_test.cpp
+++ b/tests/attempt_begin_test.cpp
@@ -1,6 +1,6 @@
 // Events between the choice of a worker for an attempt and the write of its first byte: the connection is
-// established late, and in the meantime the worker starts to drain, the client leaves, or the time in which the
-// attempt may begin ends.
+// established late, and in the meantime the worker starts to drain, the client leaves, or the time in which
+// the attempt may begin ends.
 #include "platform_fixture.h"
 #include "raw_server.h"
 
@@ -18,7 +18,8 @@
   return settings;
 }
 
-// A fixture with one fake prefill worker, and one decode worker whose connections the test handles step by step.
+// A fixture with one fake prefill worker, and one decode worker whose connections the test handles step by
+// step.
 struct ManualDecodeWorker {
   explicit ManualDecodeWorker(const std::string& effect = "retryable")
       : fixture(1, 0, settings_for_effect(effect)) {
@@ -174,8 +175,8 @@
 }
 
 // The time limit sent to a worker may exceed what the client has left by up to 150 ms, but the router may be
-// delayed by as much between reading its clock and the write. So the limit must not exceed what is left when the
-// clock is read, and it has to leave the router time to respond.
+// delayed by as much between reading its clock and the write. So the limit must not exceed what is left when
+// the clock is read, and it has to leave the router time to respond.
 TEST_CASE("the time limit sent to a worker is at most the time left, less the router's own share") {
   json settings = test_settings();
   settings["caps"]["attemptsCap"] = 2;
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -193,8 +193,8 @@
   CHECK(seen_events == 3);
 }
 
-// A client that stops in the middle of a request gets an error within 3 s, however long its connection was idle
-// before.
+// A client that stops in the middle of a request gets an error within 3 s, however long its connection was
+// idle before.
 TEST_CASE(
     "a partial request on an idle connection is rejected within 3 s of its first byte, but not at once") {
   for (const std::int64_t idle_ms : {100, 2300, 4700}) {
--- a/tests/client_leaves_test.cpp
+++ b/tests/client_leaves_test.cpp
@@ -8,8 +8,8 @@
 
 enum class Order { response_first, close_first };
 
-// Sends one request whose client leaves as the worker responds, and checks that its KV cache is released within
-// the limit.
+// Sends one request whose client leaves as the worker responds, and checks that its KV cache is released
+// within the limit.
 void leave_during_response(PlatformFixture& fixture, FakeWorker& worker, Order order, int limit_ms) {
   KvHoldMonitor monitor(fixture, KvHoldMonitor::Measure::unattended);
   RawClient client(fixture.node->address());
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -1,5 +1,5 @@
-// System calls that fail in the ways that Linux documents, with real connections over loopback and in simulated
-// time. The fault shim is linked in, and a fault is active only while the event loop runs.
+// System calls that fail in the ways that Linux documents, with real connections over loopback and in
+// simulated time. The fault shim is linked in, and a fault is active only while the event loop runs.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <chrono>
 
--- a/tests/held_state_test.cpp
+++ b/tests/held_state_test.cpp
@@ -1,17 +1,20 @@
 // Guards against KV cache that stays at a prefill worker beyond the hold limit, neither fetched nor released,
-// although the router's log shows its releases as confirmed, or shows none. Cause: the router took an event on
-// its own side (a write, a close, a timeout, a confirmed release, the start or the end of a response) for what
-// had happened to an attempt at another machine. The cases:
+// although the router's log shows its releases as confirmed, or shows none. Cause: the router took an event
+// on its own side (a write, a close, a timeout, a confirmed release, the start or the end of a response) for
+// what had happened to an attempt at another machine. The cases:
 // 1. A prefill's response is lost on a connection that stays open. As prefills were slow before, the router
 //    assumes that this one still runs, and sends no release until the attempt times out.
-// 2. A decode attempt waits at its worker behind a silent link. The router abandons it and sends releases, which
-//    other workers confirm, but which free nothing while it waits. It ends later, and no release follows.
-// 3. Of two parallel prefills, one is behind a silent link, and the KV cache of the other is fetched. The link
-//    recovers and the first one ends as well. The router sends no release, as the end of the stream was lost
-//    and it takes the stream for an attempt that is still active.
-// 4. A response arrives long after its attempt ended at the worker, and the router counts the limit from there.
-// Evidence in worker records: no release follows the end of the attempt's connection, or the first release comes
-// more than the limit after the prefill's end, while the router's trace of the request says "maybe_held".
+// 2. A decode attempt waits at its worker behind a silent link. The router abandons it and sends releases,
+//    which other workers confirm, but which free nothing while it waits. It ends later, and no release
+//    follows.
+// 3. Of two parallel prefills, one is behind a silent link, and the KV cache of the other is fetched. The
+//    link recovers and the first one ends as well. The router sends no release, as the end of the stream was
+//    lost and it takes the stream for an attempt that is still active.
+// 4. A response arrives long after its attempt ended at the worker, and the router counts the limit from
+//    there.
+// Evidence in worker records: no release follows the end of the attempt's connection, or the first release
+// comes more than the limit after the prefill's end, while the router's trace of the request says
+// "maybe_held".
 #include "kv_hold_monitor.h"
 
 namespace cressrill::testing {
@@ -80,8 +83,8 @@
   CHECK(fixture.kv_entries.empty());
 }
 
-// Prefills were slow before and now take 30 ms. The responses of three of the four prefill workers are lost on
-// connections that stay open.
+// Prefills were slow before and now take 30 ms. The responses of three of the four prefill workers are lost
+// on connections that stay open.
 void check_lost_responses(const char* effect) {
   for (const int limit_ms : {300, 500, 1000})
     for (const bool parallel : {true, false})
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -27,9 +27,8 @@
   enum class Finish { keep_alive, close, reset, hang, end_silently };
   std::string response;  // raw bytes
   Finish finish{Finish::keep_alive};
-  io::Nanos delay{};  // before the response
-  bool
-      use_default{};  // default response after `delay`; of the other fields only leaves_kv_on_disconnect applies
+  io::Nanos delay{};               // before the response
+  bool use_default{};              // default response after `delay`; only leaves_kv_on_disconnect applies too
   bool leaves_kv{};                // stores the request's KV cache at this worker before the response
   std::string late_response{};     // more raw bytes, sent `late_delay` after `response`
   io::Nanos late_delay{50 * kMs};  // ignored while `late_response` is empty
@@ -350,7 +349,8 @@
   io::Scope scope_;
 };
 
-// A fake discovery agent: it serves the full list of workers, and watches: calls that wait for a newer revision.
+// A fake discovery agent: it serves the full list of workers, and watches (calls that wait for a newer
+// revision).
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(io::Loop& loop) : loop_(loop), changed_(loop), address_(kAnyPort) {
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,5 +1,5 @@
-// Tests that need the router as a process: a start while another process still has its address, a configuration
-// file that is still being written, and a log that cannot be written.
+// Tests that need the router as a process: a start while another process still has its address, a
+// configuration file that is still being written, and a log that cannot be written.
 #include <fcntl.h>
 
 #include "router_process.h"
--- a/tests/release_test.cpp
+++ b/tests/release_test.cpp
@@ -51,8 +51,9 @@
   for (auto& worker : fixture.workers) worker->link_silent = worker->name != reachable;
 }
 
-// Decode workers reject attempts for a while, so that many prefills finish. Then streams start and stall until
-// they use all connections. Unless `reachable` is empty, the links to all workers but that one fall silent.
+// Decode workers reject attempts for a while, so that many prefills finish. Then streams start and stall
+// until they use all connections. Unless `reachable` is empty, the links to all workers but that one fall
+// silent.
 void check_released_beside_streams(PlatformFixture& fixture, int limit_ms, const std::string& reachable) {
   warm_up(fixture);
   KvHoldMonitor monitor(fixture, KvHoldMonitor::Measure::unattended);
--- a/tests/spoilt_answer_test.cpp
+++ b/tests/spoilt_answer_test.cpp
@@ -1,7 +1,7 @@
-// Guards against KV cache that is neither fetched nor released within its limit, where a prefill succeeded at its
-// worker but its response was corrupted on the way (truncated, garbage, another status, without an end).
-// Checked for every response: the KV cache is gone within the limit and 300 ms, counted from the prefill's end at
-// its worker, and each client that stays gets one complete response by its deadline and 500 ms.
+// Guards against KV cache that is neither fetched nor released within its limit, where a prefill succeeded at
+// its worker but its response was corrupted on the way (truncated, garbage, another status, without an end).
+// Checked for every response: the KV cache is gone within the limit and 300 ms, counted from the prefill's
+// end at its worker, and each client that stays gets one complete response by its deadline and 500 ms.
 #include "kv_hold_monitor.h"
 #include "raw_client.h"
 
@@ -194,8 +194,8 @@
   CHECK(fixture.node->host().invariants().violations() == 0);
 }
 
-// Runs one in kSampleInterval scenarios. Silent responses after slow prefills are left out, as the router takes
-// such silence for one more slow prefill (KNOWN-RED.txt: "a prefill whose answer is lost").
+// Runs one in kSampleInterval scenarios. Silent responses after slow prefills are left out, as the router
+// takes such silence for one more slow prefill (KNOWN-RED.txt: "a prefill whose answer is lost").
 void run_sample(const std::vector<CorruptResponse>& responses) {
   std::size_t count = 0;
   for (const CorruptResponse& corrupt : responses)
