--- a/programs/soak.cpp
+++ b/programs/soak.cpp
@@ -90,22 +90,23 @@
   std::uint64_t seed = 1;
   int seeds = 1;
   int seconds = 20;
-  const std::string here = std::filesystem::read_symlink("/proc/self/exe").parent_path();
-  options.soak_program = here + "/cressrill-soak";
-  options.router_program = here + "/cressrill-router";
-  options.shim = here + "/libcressrill_fault_shim.so";
+  const std::string program_folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
+  options.soak_program = program_folder + "/cressrill-soak";
+  options.router_program = program_folder + "/cressrill-router";
+  options.shim = program_folder + "/libcressrill_fault_shim.so";
   options.folder = "found/soak";
-  auto* all =
+  auto* run_command =
       app.add_subcommand("run", "run one soak for each seed, one after another, and check its records");
-  all->add_option("--seed", seed, "the first seed");
-  all->add_option("--seeds", seeds, "number of seeds")->check(CLI::Range(1, 10'000));
-  all->add_option("--seconds", seconds, "time for which faults are started, for each seed")
+  run_command->add_option("--seed", seed, "the first seed");
+  run_command->add_option("--seeds", seeds, "number of seeds")->check(CLI::Range(1, 10'000));
+  run_command->add_option("--seconds", seconds, "time for which faults are started, for each seed")
       ->check(CLI::Range(1, 3600));
-  all->add_option("--routers", options.routers, "number of router processes")->check(CLI::Range(1, 16));
-  all->add_option("--workers", options.workers, "number of worker processes, each with a proxy")
+  run_command->add_option("--routers", options.routers, "number of router processes")
+      ->check(CLI::Range(1, 16));
+  run_command->add_option("--workers", options.workers, "number of worker processes, each with a proxy")
       ->check(CLI::Range(2, 24));
-  all->add_option("--folder", options.folder, "directory for records and logs");
-  all->add_option("--router-program", options.router_program, "path of the router program");
+  run_command->add_option("--folder", options.folder, "directory for records and logs");
+  run_command->add_option("--router-program", options.router_program, "path of the router program");
   soak::WorkerOptions worker;
   std::string listen;
   std::string target;
@@ -113,27 +114,28 @@
   std::string cues;
   bool prefill = false;
   bool decode = false;
-  auto* one_worker = app.add_subcommand("worker", "a stand-in for a worker");
-  one_worker->add_option("--name", worker.name)->required();
-  one_worker->add_option("--listen", listen)->required();
-  one_worker->add_option("--record", record)->required();
-  one_worker->add_option("--seed", worker.seed)->required();
-  one_worker->add_option("--cues", cues, "address that gets a datagram for each response");
-  one_worker->add_flag("--prefill", prefill);
-  one_worker->add_flag("--decode", decode);
-  auto* proxy = app.add_subcommand("proxy", "a proxy in front of a worker that simulates network faults");
-  proxy->add_option("--listen", listen)->required();
-  proxy->add_option("--target", target)->required();
-  proxy->add_option("--seed", seed)->required();
+  auto* worker_command = app.add_subcommand("worker", "a stand-in for a worker");
+  worker_command->add_option("--name", worker.name)->required();
+  worker_command->add_option("--listen", listen)->required();
+  worker_command->add_option("--record", record)->required();
+  worker_command->add_option("--seed", worker.seed)->required();
+  worker_command->add_option("--cues", cues, "address that gets a datagram for each response");
+  worker_command->add_flag("--prefill", prefill);
+  worker_command->add_flag("--decode", decode);
+  auto* proxy_command =
+      app.add_subcommand("proxy", "a proxy in front of a worker that simulates network faults");
+  proxy_command->add_option("--listen", listen)->required();
+  proxy_command->add_option("--target", target)->required();
+  proxy_command->add_option("--seed", seed)->required();
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   return run_guarded("cressrill-soak", [&] {
-    if (one_worker->parsed()) {
+    if (worker_command->parsed()) {
       worker.is_prefill = prefill;
       worker.address = parse_address(listen);
       if (!cues.empty()) worker.cues = parse_address(cues);
       return run_worker(worker, record);
     }
-    if (proxy->parsed()) return run_proxy(listen, target, seed);
+    if (proxy_command->parsed()) return run_proxy(listen, target, seed);
     return run(options, seed, seeds, seconds);
   });
 }
--- a/rig/model/hold_model.h
+++ b/rig/model/hold_model.h
@@ -38,7 +38,7 @@
   prefill_ends,     // the worker holds the KV cache and sends its response
   prefill_fails,    // the worker holds some KV cache and sends an error
   prefill_refused,  // the worker sends a refusal without running the prefill
-  decode_starts,    // the worker takes the KV cache and starts its response, or sends an error without it
+  decode_starts,    // the worker takes the KV cache and starts its response; sends an error if none is held
   decode_refused,   // the worker sends a refusal
   decode_breaks,    // the worker closes the connection without a response
   stream_ends,      // the stream ends at the worker; the router is not notified
