--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -287,7 +287,8 @@
   release_ = {.in_flight = true, .written_at = now_};
 }
 
-// Simulated time. Events that are due by then occur without being chosen.
+// Simulated time. Events that fall due occur without being chosen: on a link that is not silent, bytes arrive
+// within kMaxTransitTime.
 
 Nanos HoldModel::arrives_by(const Attempt& attempt, Nanos sent_at) const {
   const Link& link_to_worker = link(attempt);
--- a/rig/soak/checker.h
+++ b/rig/soak/checker.h
@@ -12,10 +12,8 @@
 
 struct CheckerLimits {
   io::Nanos drain_grace = 500 * io::kMs;  // how long a draining worker may still get requests
-  io::Nanos held_for =
-      1000 * io::kMs;  // longest time that KV cache may be held while no attempt is at a worker
-  io::Nanos window =
-      1500 * io::kMs;  // in which an "order" request may be repeated, from its first decode attempt
+  io::Nanos held_for = 1000 * io::kMs;    // how long KV cache may be held with no attempt at a worker
+  io::Nanos window = 1500 * io::kMs;  // how long after its first decode attempt an "order" may be repeated
 };
 
 struct CheckResult {
