--- a/benchmarks/decide.cpp
+++ b/benchmarks/decide.cpp
@@ -73,7 +73,7 @@
     settings.types.push_back({Effect::repeatable, Group::all, 0, slo_s * 1000 * kMs, 40 * kMs, 1});
     settings.kinds = {{Role::prefill, 0}, {Role::decode, 0}};
     settings.routers = 1;
-    settings.tick = 2 * kMs;
+    settings.time_granularity = 2 * kMs;
     settings.max_attempts = 6;
     settings.can_cancel = true;
     settings.allow_parallel_attempts = true;
--- a/core/counters.h
+++ b/core/counters.h
@@ -41,7 +41,7 @@
  public:
   // The strings passed to the methods that take a std::string_view must outlive this object; it keeps views
   // of them as lookup keys.
-  void count_answer(std::string_view type, std::string_view answer) {
+  void count_request_outcome(std::string_view type, std::string_view answer) {
     find_or_add(answer_counters_, type, answer, [&]() -> prometheus::Counter& {
       return answers_.Add({{"type", std::string(type)}, {"answer", std::string(answer)}});
     }).Increment();
--- a/core/well_formed.cpp
+++ b/core/json_validation.cpp
@@ -1,4 +1,4 @@
-#include "well_formed.h"
+#include "json_validation.h"
 
 namespace cressrill::core {
 
--- a/core/parsed_request.cpp
+++ b/core/parsed_request.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "well_formed.h"
+#include "json_validation.h"
 
 namespace cressrill::core {
 
@@ -314,7 +314,7 @@
   }
 }
 
-std::string EngineBody::text() const {
+std::string EngineRequestBody::text() const {
   std::string out;
   out.reserve(bytes);
   for (const std::string_view part : parts) out += part;
@@ -324,7 +324,7 @@
 namespace {
 
 // Sets the parts of the body: the forwarded members, then the tail.
-void join_parts(const ParsedRequest& request, EngineBody& body) {
+void join_parts(const ParsedRequest& request, EngineRequestBody& body) {
   body.parts.clear();
   body.parts.push_back("{");
   for (const TextRange& range : request.forwarded_members) {
@@ -338,14 +338,15 @@
 
 }  // namespace
 
-void build_prefill_body(const ParsedRequest& request, EngineBody& body) {
+void build_prefill_body(const ParsedRequest& request, EngineRequestBody& body) {
   body.tail =
       R"("max_tokens":1,"stream":false,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false,)"
       R"("remote_engine_id":null,"remote_block_ids":null,"remote_host":null,"remote_port":null}})";
   join_parts(request, body);
 }
 
-void build_decode_body(const ParsedRequest& request, std::string_view kv_transfer_params, EngineBody& body) {
+void build_decode_body(const ParsedRequest& request, std::string_view kv_transfer_params,
+                       EngineRequestBody& body) {
   body.tail.clear();
   if (request.max_output_tokens)
     body.tail.append("\"max_tokens\":").append(std::to_string(*request.max_output_tokens)).append(",");
--- a/core/parsed_request.h
+++ b/core/parsed_request.h
@@ -62,14 +62,15 @@
 
 // The body of a request to an engine (docs/design/engine-wire.md), as parts that are sent one after the
 // other. The parts are views of the parsed request and of tail, and are valid as long as both are unchanged.
-struct EngineBody {
+struct EngineRequestBody {
   boost::container::small_vector<std::string_view, 12> parts;
   std::string tail;     // the members that the router adds, and the closing brace
   std::size_t bytes{};  // of all parts together
   std::string text() const;
 };
-void build_prefill_body(const ParsedRequest& request, EngineBody& body);
+void build_prefill_body(const ParsedRequest& request, EngineRequestBody& body);
 // kv_transfer_params: as returned by the prefill worker; empty: none.
-void build_decode_body(const ParsedRequest& request, std::string_view kv_transfer_params, EngineBody& body);
+void build_decode_body(const ParsedRequest& request, std::string_view kv_transfer_params,
+                       EngineRequestBody& body);
 
 }  // namespace cressrill::core
--- a/core/router_config.cpp
+++ b/core/router_config.cpp
@@ -97,7 +97,7 @@
   if (position == config.zones.end()) table.add_error("zone", "is not among 'zones'");
   config.settings.zone = static_cast<int>(position - config.zones.begin());
   config.settings.routers = table.integer("routers", 1, 1'000'000);
-  config.settings.tick = table.duration("tick_ms", 0.1, 1000, 10);
+  config.settings.time_granularity = table.duration("tick_ms", 0.1, 1000, 10);
   config.default_max_output_tokens = table.integer("default_max_out", 1, 10'000'000, 1024);
   config.shutdown_timeout = table.duration("stop_within_ms", 0, kHourMs, 30'000);
   table.report_unknown_keys();
@@ -169,7 +169,7 @@
     read_rules(*table, config);
     // Rule 3: a connection that is being set up when a drain is announced may still carry a request, once it
     // is established.
-    if (config.dial_timeout + config.settings.tick >= config.drain_grace)
+    if (config.dial_timeout + config.settings.time_granularity >= config.drain_grace)
       table->add_error("drain_grace_ms",
                        "is not above 'bounds.dial_timeout_ms' and 'router.tick_ms' together");
   }
--- a/io/failure.h
+++ b/io/failure.h
@@ -5,7 +5,7 @@
 
 #include <cstdint>
 
-#include "calls.h"
+#include "system_calls.h"
 
 namespace cressrill::io {
 
--- a/io/loop.h
+++ b/io/loop.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "calls.h"
 #include "failure.h"
+#include "system_calls.h"
 #include "task.h"
 #include "timer_wheel.h"
 
--- a/profile/profile.cpp
+++ b/profile/profile.cpp
@@ -96,9 +96,9 @@
     if (type.effect == Effect::tokened)
       type.group = choice<Group>(reader, prefix + "group",
                                  {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-    type.window = nanos(reader.number_or_zero(prefix + "windowMs"));
-    type.slo = nanos(reader.number(prefix + "goalTimeMs"));
-    type.slo_per_1000_tokens = nanos(value_or_zero(slo_us_per_1000, i) / 1000.0);  // from us to ms
+    type.window = nanos_from_ms(reader.number_or_zero(prefix + "windowMs"));
+    type.slo = nanos_from_ms(reader.number(prefix + "goalTimeMs"));
+    type.slo_per_1000_tokens = nanos_from_ms(value_or_zero(slo_us_per_1000, i) / 1000.0);  // from us to ms
     type.utility = reader.number(prefix + "worth");
     result.types.push_back(type);
   }
@@ -136,8 +136,8 @@
 
 }  // namespace
 
-Nanos nanos(double ms) { return std::llround(ms * 1e6); }
-double millis(Nanos ns) { return static_cast<double>(ns) / 1e6; }
+Nanos nanos_from_ms(double ms) { return std::llround(ms * 1e6); }
+double ms_from_nanos(Nanos ns) { return static_cast<double>(ns) / 1e6; }
 
 DeploymentSettings decode_settings(std::string_view text) {
   const SettingsReader reader(text);
@@ -157,25 +157,25 @@
   }
   result.kind_names = split_list(reader.find("models").value_or(""));
   result.zone_names = split_list(reader.find("azs").value_or(""));
-  result.dial_timeout = nanos(reader.number_or_zero("caps.dialTimeoutMs"));
-  result.worker_idle_timeout = nanos(reader.number_or_zero("caps.connIdleMs"));
-  result.drain_grace = nanos(reader.number_or_zero("obligations.stopSendingWithinMs"));
+  result.dial_timeout = nanos_from_ms(reader.number_or_zero("caps.dialTimeoutMs"));
+  result.worker_idle_timeout = nanos_from_ms(reader.number_or_zero("caps.connIdleMs"));
+  result.drain_grace = nanos_from_ms(reader.number_or_zero("obligations.stopSendingWithinMs"));
   policy.routers = static_cast<int>(reader.number("instances"));
   policy.zone = static_cast<int>(reader.number_or_zero("locality"));
-  policy.tick = nanos(reader.number("granularityMs"));
+  policy.time_granularity = nanos_from_ms(reader.number("granularityMs"));
   policy.max_attempts = static_cast<int>(reader.number("caps.attemptsCap"));
   policy.can_cancel = reader.flag("caps.cancelling");
   policy.allow_parallel_attempts = reader.flag("caps.parallelTries");
   policy.send_retry_after = reader.flag("caps.retryAfter");
-  policy.max_retry_after = nanos(reader.number_or_zero("caps.maxRetryAfterMs"));
+  policy.max_retry_after = nanos_from_ms(reader.number_or_zero("caps.maxRetryAfterMs"));
   policy.needs_subscription = reader.find("discovery") == "subscribe";
-  policy.subscription_lifetime = nanos(reader.number_or_zero("obligations.mustAskInMs"));
+  policy.subscription_lifetime = nanos_from_ms(reader.number_or_zero("obligations.mustAskInMs"));
   policy.cross_zone_price = reader.number_or_zero("prices.crossZone");
-  policy.kv_hold_limit = nanos(reader.number("familyInfo.pinLimitMs"));
+  policy.kv_hold_limit = nanos_from_ms(reader.number("familyInfo.pinLimitMs"));
   policy.cold_start_capacity = reader.number("obligations.coldFrom");
-  policy.ramp_time = nanos(reader.number("obligations.rampTimeMs"));
+  policy.ramp_time = nanos_from_ms(reader.number("obligations.rampTimeMs"));
   policy.overload_factor = reader.number("obligations.fallMultiple");
-  policy.overload_window = nanos(reader.number("obligations.fallMs"));
+  policy.overload_window = nanos_from_ms(reader.number("obligations.fallMs"));
   return result;
 }
 
--- a/profile/profile.h
+++ b/profile/profile.h
@@ -35,8 +35,8 @@
 // Throws SettingsError, whose text names the key.
 DeploymentSettings decode_settings(std::string_view text);
 // Milliseconds to nanoseconds.
-Nanos nanos(double ms);
+Nanos nanos_from_ms(double ms);
 // Nanoseconds to milliseconds.
-double millis(Nanos ns);
+double ms_from_nanos(Nanos ns);
 
 }  // namespace cressrill::profile
--- a/programs/day.cpp
+++ b/programs/day.cpp
@@ -49,7 +49,7 @@
               << std::flush;
     const std::vector<std::string> failures = rig::run_scenario(*scenario, programs, folder, second_byte);
     const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), scenario->rule_settings);
-    std::cout << verdict.text();
+    std::cout << verdict.report();
     for (const std::string& failure : failures) std::cout << "failed: " << failure << '\n';
     return verdict.passed() && failures.empty() ? kSuccess : kFailure;
   });
--- a/programs/measure.cpp
+++ b/programs/measure.cpp
@@ -265,7 +265,7 @@
           // Retries, as the router rejects requests while its limits are still growing.
           for (bool started = false; !started;) {
             rig::ClientRequest request = make_request(router, static_cast<std::size_t>(number), 100'000, 100);
-            request.on_first = [&] {
+            request.on_first_token = [&] {
               started = true;
               ++started_count;
             };
--- a/programs/serve.h
+++ b/programs/serve.h
@@ -15,11 +15,11 @@
                                       router::Instance& instance) {
   io::StopSignal stop(loop);
   co_await stop.wait();
-  log.info("stopping", {{"in_hand", instance.host().live_requests()}});
+  log.info("stopping", {{"in_hand", instance.host().active_requests()}});
   instance.stop();
   const io::Nanos deadline = loop.now() + config.shutdown_timeout;
   while (!instance.is_idle() && loop.now() < deadline) co_await loop.sleep_for(5 * io::kMs);
-  log.info("stopped", {{"left", instance.host().live_requests()}});
+  log.info("stopped", {{"left", instance.host().active_requests()}});
   loop.stop();
 }
 
--- a/programs/soak.cpp
+++ b/programs/soak.cpp
@@ -57,7 +57,7 @@
   int failed = 0;
   for (int i = 0; i < seeds; ++i) {
     options.seed = first_seed + static_cast<std::uint64_t>(i);
-    options.length = seconds * io::kSecond;
+    options.fault_duration = seconds * io::kSecond;
     const std::string parent = options.folder;
     options.folder = parent + "/seed-" + std::to_string(options.seed);
     std::filesystem::remove_all(options.folder);
@@ -93,7 +93,7 @@
   const std::string program_folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
   options.soak_program = program_folder + "/cressrill-soak";
   options.router_program = program_folder + "/cressrill-router";
-  options.shim = program_folder + "/libcressrill_fault_shim.so";
+  options.fault_shim = program_folder + "/libcressrill_fault_shim.so";
   options.folder = "found/soak";
   auto* run_command =
       app.add_subcommand("run", "run one soak for each seed, one after another, and check its records");
--- a/programs/verdict.cpp
+++ b/programs/verdict.cpp
@@ -12,7 +12,7 @@
   if (const auto code = read_command_line(app, argc, argv)) return *code;
   return run_guarded("cressrill-verdict", [&] {
     const rig::Verdict verdict = rig::check_rules(rig::read_records(folder), rig::read_rule_settings(folder));
-    std::cout << verdict.text();
+    std::cout << verdict.report();
     return verdict.passed() ? kSuccess : kFailure;
   });
 }
--- a/rig/baseline.cpp
+++ b/rig/baseline.cpp
@@ -25,7 +25,7 @@
     worker_at(worker).is_prefill = settings_.kinds[static_cast<std::size_t>(kind)].role == Role::prefill;
   }
   void list_ends() override {}
-  void list_failed(Nanos) override {}
+  void discovery_unreachable(Nanos) override {}
   void request_arrived(Nanos now, int request, int type, int, std::uint64_t, std::uint64_t, double, double,
                        double, Nanos deadline) override {
     if (request >= static_cast<int>(requests_.size()))
--- a/rig/client.cpp
+++ b/rig/client.cpp
@@ -142,8 +142,9 @@
       }
       if (result.time_to_first_token == 0 && !pieces.empty()) {
         result.time_to_first_token = loop.now() - started;
-        if (request.on_first) request.on_first();
-        if (request.leave_after_first > 0) leave_at = loop.now() + request.leave_after_first;
+        if (request.on_first_token) request.on_first_token();
+        if (request.disconnect_after_first_token > 0)
+          leave_at = loop.now() + request.disconnect_after_first_token;
       }
       for (const std::string_view piece : pieces) {
         events.feed(piece);
--- a/rig/client.h
+++ b/rig/client.h
@@ -21,11 +21,11 @@
   std::string path = "/v1/chat/completions";
   std::string body;
   bool stream{true};
-  io::Nanos time_limit{};          // time limit that is sent with the request
-  io::Nanos slo{};                 // latency SLO, only recorded
-  std::function<void()> on_first;  // called at the first token; may be empty
+  io::Nanos time_limit{};                // time limit that is sent with the request
+  io::Nanos slo{};                       // latency SLO, only recorded
+  std::function<void()> on_first_token;  // called at the first token; may be empty
   // The client closes the connection this long after the first token; 0: never.
-  io::Nanos leave_after_first{};
+  io::Nanos disconnect_after_first_token{};
 };
 
 struct ClientResult {
--- a/rig/cost.cpp
+++ b/rig/cost.cpp
@@ -82,7 +82,7 @@
     policy_->worker_listed(worker, identity, status, started, kind, zone, cell);
   }
   void list_ends() override { policy_->list_ends(); }
-  void list_failed(Nanos now) override { policy_->list_failed(now); }
+  void discovery_unreachable(Nanos now) override { policy_->discovery_unreachable(now); }
   void request_arrived(Nanos now, int request, int type, int tenant, std::uint64_t session,
                        std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
                        double max_output_tokens, Nanos deadline) override {
@@ -302,7 +302,7 @@
             {"stream", request.stream}}
             .dump();
     if (!idle) body_ = request.body;
-    if (idle) request.on_first = [this] { ++idle_streams_started_; };
+    if (idle) request.on_first_token = [this] { ++idle_streams_started_; };
     clients_.spawn([](CostMeasurement& measurement, ClientRequest to_send, bool is_idle) -> io::Task<> {
       const ClientResult result =
           co_await rig::send_request(measurement.client_loop_, measurement.no_record_, std::move(to_send));
--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -20,7 +20,7 @@
   return hash ^ hash >> 29;
 }
 
-io::Nanos nanos(double ms) { return static_cast<io::Nanos>(ms * 1e6); }
+io::Nanos nanos_from_ms(double ms) { return static_cast<io::Nanos>(ms * 1e6); }
 
 // The prompt of a request as one string; messages are prefixed with their roles.
 std::string prompt_text(const json& body) {
@@ -132,9 +132,9 @@
   record_.record("fault", {{"engine", config_.name},
                            {"kind", fault.kind},
                            {"size", fault.size},
-                           {"for_ms", fault.span / io::kMs}});
+                           {"for_ms", fault.duration / io::kMs}});
   const auto at_end = [&](std::function<void()> action) {
-    if (fault.span > 0) faults_.spawn(run_after(fault.span, std::move(action)));
+    if (fault.duration > 0) faults_.spawn(run_after(fault.duration, std::move(action)));
   };
   const auto restart_cold = [this] {
     if (server_) return;
@@ -157,7 +157,7 @@
     at_end([this] { slowdown_ = 1; });
   } else if (fault.kind == "ageing") {  // slows down in two steps, then crashes
     slowdown_ = std::max(1.5, fault.size / 2);
-    faults_.spawn(run_after(fault.span / 2, [this, fault] { slowdown_ = fault.size; }));
+    faults_.spawn(run_after(fault.duration / 2, [this, fault] { slowdown_ = fault.size; }));
     at_end([this, restart_cold] {
       stop("ageing");
       restart_cold();
@@ -176,7 +176,7 @@
     cut_share_ = fault.size;
     at_end([this] { cut_share_ = 0; });
   } else if (fault.kind == "handshake_slow") {
-    if (server_) server_->throttle_accept(nanos(fault.size));
+    if (server_) server_->throttle_accept(nanos_from_ms(fault.size));
     at_end([this] {
       if (server_) server_->throttle_accept(0);
     });
@@ -202,9 +202,9 @@
 // Rule 4: a cold engine crashes when the work that arrives within fall_ms exceeds fall_multiple times its
 // present capacity. The largest request of that time is not counted, as it can exceed the limit by itself.
 bool Engine::overloads(double work_s) {
-  if (!cold_ || loop_.now() - started_ >= nanos(config_.ramp_ms)) return false;
+  if (!cold_ || loop_.now() - started_ >= nanos_from_ms(config_.ramp_ms)) return false;
   recent_work_.emplace_back(loop_.now(), work_s);
-  while (recent_work_.front().first < loop_.now() - nanos(config_.fall_ms)) recent_work_.pop_front();
+  while (recent_work_.front().first < loop_.now() - nanos_from_ms(config_.fall_ms)) recent_work_.pop_front();
   double total_s = 0;
   double largest_s = 0;
   for (const auto& [arrived_at, request_s] : recent_work_) {
@@ -215,7 +215,7 @@
 }
 
 std::string Engine::load_header() {
-  if (load_header_.empty() || loop_.now() - load_header_made_at_ >= nanos(config_.report_ms)) {
+  if (load_header_.empty() || loop_.now() - load_header_made_at_ >= nanos_from_ms(config_.report_ms)) {
     const double used_tokens = config_.role == Role::prefill ? kv_tokens_held_ : decode_tokens_;
     load_header_ = fmt::format(
         "endpoint-load-metrics: TEXT named_metrics.kv_cache_usage_perc={:.4f}, "
@@ -356,7 +356,7 @@
       for (double remaining_s = config_.read_overhead_ms / 1000 + uncached_tokens / config_.read_per_s;
            remaining_s > 0 && !job->cancelled;) {
         const double step_s = std::min(remaining_s, 0.05);
-        co_await loop_.sleep_for(nanos(1000 * step_s / speed()));
+        co_await loop_.sleep_for(nanos_from_ms(1000 * step_s / speed()));
         co_await wait_while_silent();
         remaining_s -= step_s;
       }
@@ -416,7 +416,7 @@
 }
 
 io::Task<> Engine::expire_kv(std::string id, std::uint64_t serial) {
-  co_await loop_.sleep_for(nanos(config_.state_expiry_ms));
+  co_await loop_.sleep_for(nanos_from_ms(config_.state_expiry_ms));
   const auto entry = kv_entries_.find(id);
   if (entry != kv_entries_.end() && entry->second.serial == serial && !entry->second.transferring)
     release_kv(id, "expired");
@@ -440,7 +440,8 @@
   }
   entry->second.transferring = true;
   const double slowdown = cell == config_.cell ? 1 : config_.far_factor;
-  const io::Nanos transfer_time = nanos(1000 * slowdown * entry->second.tokens / config_.transfer_per_s);
+  const io::Nanos transfer_time =
+      nanos_from_ms(1000 * slowdown * entry->second.tokens / config_.transfer_per_s);
   bool client_closed = false;
   {
     io::Signal ended(loop_);
@@ -540,7 +541,7 @@
       continue;
     }
     const double step = config_.step_ms + config_.step_ms_per_sequence * static_cast<double>(running_.size());
-    co_await loop_.sleep_for(nanos(step / speed()));
+    co_await loop_.sleep_for(nanos_from_ms(step / speed()));
     co_await wait_while_silent();
     const std::vector<JobPtr> batch = running_;
     for (const JobPtr& job : batch) {
@@ -566,8 +567,8 @@
     if (config_.role == Role::decode)
       co_return co_await respond_with_error(response, *job, 409, "kv_state_not_found");
     job->cached_tokens = std::min(cache_prefix(job->tokens), job->tokens.count - 1);
-    co_await loop_.sleep_for(nanos(1000 * static_cast<double>(job->tokens.count - job->cached_tokens) /
-                                   config_.read_per_s / speed()));
+    co_await loop_.sleep_for(nanos_from_ms(
+        1000 * static_cast<double>(job->tokens.count - job->cached_tokens) / config_.read_per_s / speed()));
   }
   decode_queue_.push_back(job);
   admit();
--- a/rig/engine.h
+++ b/rig/engine.h
@@ -47,8 +47,8 @@
 struct Fault {
   std::string kind;  // crash, vanish, slow, throttle, flush, fast_errors, handshake_slow, cut, ageing
   double size{};  // slow, ageing: factor; throttle, fast_errors, cut: share; handshake_slow: ms a connection
-  io::Nanos span{};  // the fault ends after this time; 0: it does not end
-  std::string to;    // throttle: the tenant or traffic type concerned; empty: all
+  io::Nanos duration{};  // the fault ends after this time; 0: it does not end
+  std::string to;        // throttle: the tenant or traffic type concerned; empty: all
 };
 
 // The tokens of a prompt. A token is up to five letters or digits, or one other character; spaces are
--- a/rig/load_generator.cpp
+++ b/rig/load_generator.cpp
@@ -93,7 +93,7 @@
   request.time_limit = static_cast<Nanos>(
       timeout_share * static_cast<double>(rule.time_limit + for_prompt(rule.time_limit_per_1000_tokens)));
   request.time_limit = request.time_limit / io::kMs * io::kMs;  // it is sent in whole milliseconds
-  if (uniform() < scenario_.clients.leave_share) request.leave_after_first = 50 * io::kMs;
+  if (uniform() < scenario_.clients.leave_share) request.disconnect_after_first_token = 50 * io::kMs;
   for (const core::Tenant& tenant : scenario_.config.tenants)
     if (!tenant.api_keys.empty() && (request.api_key.empty() || uniform() < 0.5))
       request.api_key = tenant.api_keys.front();
--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -138,7 +138,7 @@
       break;
     }
     case EventType::worker_answers:
-      hold_.worker_answered({worker_ref(event.worker).identity, now_, now_});
+      hold_.worker_responded({worker_ref(event.worker).identity, now_, now_});
       break;
     case EventType::release_wanted:
       record(HoldEvent::release_wanted);
--- a/rig/scenario.cpp
+++ b/rig/scenario.cpp
@@ -170,7 +170,8 @@
              "\"{}\"\nzone = \"{}\"\n"
              "zones = [{}]\nrouters = {}\ntick_ms = {}\nlog_level = \"debug\"\n\n",
              router.name, listen_address, admin_address, discovery_address, last_list_path, router.zone,
-             zones, scenario.routers.size(), static_cast<double>(scenario.config.settings.tick) / 1e6) +
+             zones, scenario.routers.size(),
+             static_cast<double>(scenario.config.settings.time_granularity) / 1e6) +
          scenario.shared_toml;
 }
 
@@ -210,7 +211,7 @@
     scenario.config.zones = table->strings("zones", true);
     table->report_unknown_keys();
   }
-  scenario.config.settings.tick = static_cast<Nanos>(tick_ms * 1e6);
+  scenario.config.settings.time_granularity = static_cast<Nanos>(tick_ms * 1e6);
   for (core::TomlTable& table : root.tables("router", true)) {
     scenario.routers.push_back({table.string("name"), table.string("zone")});
     if (std::ranges::find(scenario.config.zones, scenario.routers.back().zone) == scenario.config.zones.end())
--- a/rig/soak/checker.cpp
+++ b/rig/soak/checker.cpp
@@ -298,7 +298,7 @@
       if (attempt.is_prefill) continue;
       if (first_at && request.kind == "pay") add_breach(fmt::format("{}: sent to decode twice", id));
       if (first_at && request.kind == "order" && !link_was_silent(attempt.worker, attempt.recorded_at) &&
-          attempt.arrived_at - *first_at > limits_.window + 50 * kMs + kNetworkDelay)
+          attempt.arrived_at - *first_at > limits_.repeat_window + 50 * kMs + kNetworkDelay)
         add_breach(fmt::format("{}: repeated {} ms after the first decode attempt", id,
                                (attempt.arrived_at - *first_at) / kMs));
       if (!first_at && !attempt.rejected) first_at = attempt.arrived_at;
@@ -311,7 +311,7 @@
       attempts.push_back({attempt.arrived_at, attempt.ended_at == 0 ? kNever : attempt.ended_at,
                           worker_number(attempt.worker), attempt.is_prefill});
     for (const HeldSpan& span : held_spans(attempts, request.kv_actions, last_record_at_)) {
-      const Nanos max_unattended = limits_.held_for + 300 * kMs + kNetworkDelay;
+      const Nanos max_unattended = limits_.kv_hold_limit + 300 * kMs + kNetworkDelay;
       const Nanos unattended = unattended_until_kill(request, attempts, span);
       if (unattended <= max_unattended || any_worker_stopped(request)) continue;
       add_breach(fmt::format("{}: its KV cache was held for {} ms", id, unattended / kMs));
--- a/rig/soak/checker.h
+++ b/rig/soak/checker.h
@@ -11,9 +11,9 @@
 namespace cressrill::rig::soak {
 
 struct CheckerLimits {
-  io::Nanos drain_grace = 500 * io::kMs;  // how long a draining worker may still get requests
-  io::Nanos held_for = 1000 * io::kMs;    // how long KV cache may be held with no attempt at a worker
-  io::Nanos window = 1500 * io::kMs;      // how long after its first decode an "order" may be repeated
+  io::Nanos drain_grace = 500 * io::kMs;     // how long a draining worker may still get requests
+  io::Nanos kv_hold_limit = 1000 * io::kMs;  // how long KV cache may be held with no attempt at a worker
+  io::Nanos repeat_window = 1500 * io::kMs;  // how long after its first decode an "order" may be repeated
 };
 
 struct CheckResult {
--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -156,8 +156,8 @@
       worker.proxy.kill();
     }
     for (Router& router : routers_) router.process.kill();
-    result_.check_result = check(read_records(), {.held_for = drawn_settings_.pin_limit_ms * kMs,
-                                                  .window = drawn_settings_.window_ms * kMs});
+    result_.check_result = check(read_records(), {.kv_hold_limit = drawn_settings_.pin_limit_ms * kMs,
+                                                  .repeat_window = drawn_settings_.window_ms * kMs});
     count_router_violations();
     return std::move(result_);
   }
@@ -250,7 +250,7 @@
   io::Task<> start_router(Router& router) {
     write_file(router.config, config_text(router));
     ::setenv("EDGE_CONFIG", router.config.c_str(), 1);
-    ::setenv("LD_PRELOAD", options_.shim.c_str(), 1);
+    ::setenv("LD_PRELOAD", options_.fault_shim.c_str(), 1);
     ::setenv(kFaultPlanVariable, router.plan->path().c_str(), 1);
     router.process = Process({options_.router_program, "--platform", "--log-level", "info"},
                              path_in_folder(router.name + ".log"));
@@ -291,7 +291,7 @@
     clients_.start(kClients);
     scope_.spawn(monitor_routers());
     if (drawn_settings_.crowd) connect_idle_clients();
-    const io::Nanos until = loop_.now() + options_.length;
+    const io::Nanos until = loop_.now() + options_.fault_duration;
     io::Scope faults(loop_);
     faults.spawn(interrupt_receives());  // so that every run has a failing call
     while (loop_.now() < until) {
@@ -541,9 +541,9 @@
     if (std::exchange(discovery_is_silent_, true)) co_return;
     record_.record("trouble", {{"what", "discovery silent"}});
     record_.record("discovery_silent", Recorder::Line::object());
-    discovery_.silence(true);
+    discovery_.set_silent(true);
     co_await loop_.sleep_for(random_duration(500, 6000));
-    discovery_.silence(false);
+    discovery_.set_silent(false);
     record_.record("discovery_up", Recorder::Line::object());
     discovery_is_silent_ = false;
   }
--- a/rig/soak/conductor.h
+++ b/rig/soak/conductor.h
@@ -14,13 +14,13 @@
 
 struct SoakOptions {
   std::uint64_t seed{};
-  io::Nanos length{};  // how long new faults are started
+  io::Nanos fault_duration{};  // how long new faults are started
   int routers = 4;
   int workers = 8;  // the first half are prefill workers, the others decode workers; each has its own proxy
   std::string folder;  // for records and logs
   std::string router_program;
   std::string soak_program;  // cressrill-soak, which has subcommands for workers and proxies
-  std::string shim;          // path of the fault shim's shared library
+  std::string fault_shim;    // path of the fault shim's shared library
 };
 
 struct SoakResult {
--- a/rig/soak/discovery.cpp
+++ b/rig/soak/discovery.cpp
@@ -18,7 +18,7 @@
   changed_.notify();
 }
 
-void Discovery::silence(bool silent) {
+void Discovery::set_silent(bool silent) {
   silent_ = silent;
   changed_.notify();
 }
--- a/rig/soak/discovery.h
+++ b/rig/soak/discovery.h
@@ -19,7 +19,7 @@
   // Adds or replaces the entry of a worker; the state "removed" deletes it.
   void put(nlohmann::json target);
   // While silent, no agent responds to a call.
-  void silence(bool silent);
+  void set_silent(bool silent);
 
  private:
   io::Task<> serve(http::Request& request, http::ResponseWriter& response);
--- a/rig/verdict.cpp
+++ b/rig/verdict.cpp
@@ -325,7 +325,7 @@
   return possible == 0 ? 0 : earned / possible;
 }
 
-std::string Verdict::text() const {
+std::string Verdict::report() const {
   std::string report;
   for (const RuleResult& result : rules) {
     report += fmt::format("rule {}: {:<46} {:>6} checked, {:>4} violations  {}\n", result.rule, result.name,
--- a/rig/verdict.h
+++ b/rig/verdict.h
@@ -51,8 +51,8 @@
   std::vector<RuleResult> rules;
   std::map<std::string, TypeTotals> types;  // by name
   bool passed() const;
-  double utility() const;    // earned share of the possible utility of all types
-  std::string text() const;  // a report for people, with two tables
+  double utility() const;      // earned share of the possible utility of all types
+  std::string report() const;  // a report for people, with two tables
 };
 
 // Takes the records in any order: they are sorted by their timestamps.
--- a/router/discovery_client.cpp
+++ b/router/discovery_client.cpp
@@ -83,7 +83,7 @@
         if (loop_.now() - connected_at > kMaxReconnectDelay) delay = kMinReconnectDelay;
       }
     }
-    host_.list_failed();
+    host_.discovery_unreachable();
     log_.warn("roster lost", {{"roster", config_.discovery_address}, {"next_try_ms", delay / io::kMs}});
     co_await loop_.sleep_for(delay);
     delay = std::min(kMaxReconnectDelay, delay * 2);
--- a/router/engine_wire.cpp
+++ b/router/engine_wire.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "core/well_formed.h"
+#include "core/json_validation.h"
 
 namespace cressrill::router {
 
--- a/router/fleet.h
+++ b/router/fleet.h
@@ -30,12 +30,12 @@
   io::Nanos started_at{};                 // 0: unknown, assumed to be long ago
   std::uint64_t start_version{};          // version of the list that reported this start
   int start_source{};                     // discovery agent that sent that list
-  io::Nanos last_heard{};                 // when its latest response was received
+  io::Nanos last_response_at{};           // when its latest response was received
   io::Nanos responded_call_written_at{};  // when the latest call that it has responded to was written
   std::shared_ptr<http::Pool> pool;  // shared with attempts, which keep the pool of a former address alive
 
   void record_response(io::Nanos call_written_at, io::Nanos now) {
-    last_heard = now;
+    last_response_at = now;
     responded_call_written_at = std::max(responded_call_written_at, call_written_at);
   }
 };
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -113,8 +113,8 @@
   switch (input.kind) {
     case Input::Kind::list:
       return fleet_.apply_list(*input.list, *policy_);
-    case Input::Kind::list_failed:
-      return policy_->list_failed(now);
+    case Input::Kind::discovery_unreachable:
+      return policy_->discovery_unreachable(now);
     case Input::Kind::wakeup:
       return policy_->on_wakeup(now);
     default:
@@ -211,7 +211,9 @@
 void Host::update_list(const core::WorkerList& list) {
   enqueue({.kind = Input::Kind::list, .request = {}, .list = std::make_shared<const core::WorkerList>(list)});
 }
-void Host::list_failed() { enqueue({.kind = Input::Kind::list_failed, .request = {}, .list = {}}); }
+void Host::discovery_unreachable() {
+  enqueue({.kind = Input::Kind::discovery_unreachable, .request = {}, .list = {}});
+}
 
 // Actions.
 
@@ -297,7 +299,7 @@
   if (outcome != RequestOutcome::generated && outcome != RequestOutcome::engine_refused &&
       !request.attempts.empty())
     trace_writer_.write(request.info.id, request.kv_lease->trace, "not served after attempts");
-  counters_.count_answer(type_name(request), to_string(outcome));
+  counters_.count_request_outcome(type_name(request), to_string(outcome));
   log_.info("answered", {{"sequence", request.info.id},
                          {"answer", to_string(outcome)},
                          {"type", type_name(request)},
@@ -388,7 +390,7 @@
                             lease.at_capacity() ? Outcome::not_sent : Outcome::connect_failed);
     attempt.connection_idle_time = lease->reused ? lease->idle_time : -1;
     add_trace_entry(*request, TraceStep::connected, attempt_index);
-    if (attempt.is_prefill && request->kv_lease->hold.release_precedes_prefill())
+    if (attempt.is_prefill && request->kv_lease->hold.must_release_before_prefill())
       co_await releaser_.await_release_before_prefill(request->kv_lease.shared());
     if (!may_begin(*request, attempt)) co_return end_attempt(*request, attempt_index, Outcome::not_sent);
     // Recorded before the first byte is written: from then on the worker may hold KV cache.
@@ -488,7 +490,7 @@
 // The time reserved for the router's own response before a client's deadline; the policy reserves the same.
 io::Nanos Host::response_margin() const {
   constexpr io::Nanos kResponseTime = 10 * io::kMs;
-  return 2 * config_.settings.tick + kResponseTime;
+  return 2 * config_.settings.time_granularity + kResponseTime;
 }
 
 AttemptInfo Host::attempt_info(const ActiveRequest& request, int attempt_index) const {
@@ -679,7 +681,7 @@
 
 io::Task<> Host::serve(http::Request& http_request, http::ResponseWriter& response) {
   RequestInfo info;
-  auto open_result = protocol_.open_exchange(http_request, info);
+  auto open_result = protocol_.begin_exchange(http_request, info);
   if (const Reply* reply = std::get_if<Reply>(&open_result)) {
     if (reply->is_refusal) counters_.count_refusal(reply->status);
     if (reply->is_refusal && !reply->keep_connection) response.close_after_response();
@@ -761,7 +763,7 @@
 
 void Host::handle_client_left(const std::shared_ptr<ActiveRequest>& request, http::ResponseWriter& response) {
   if (!mark_client_left(request)) return;
-  counters_.count_answer(type_name(*request), "left");
+  counters_.count_request_outcome(type_name(*request), "left");
   log_.info(response.write_stalled() ? "client stalled" : "client left",
             {{"sequence", request->info.id}, {"answer", to_string(request->outcome)}});
   response.abort();  // a pending write ends with an error
@@ -770,7 +772,7 @@
 io::Task<> Host::send_final_response(ActiveRequest& request, http::ResponseWriter& response,
                                      bool stream_started) {
   constexpr io::Nanos kResponseSlack = 500 * io::kMs;
-  const bool late = loop_.now() + config_.settings.tick * 4 >= request.deadline;
+  const bool late = loop_.now() + config_.settings.time_granularity * 4 >= request.deadline;
   const io::Nanos overrun = stream_started || request.streaming_attempt >= 0
                                 ? 0
                                 : loop_.update_now() - request.deadline - kResponseSlack;
--- a/router/host.h
+++ b/router/host.h
@@ -37,12 +37,12 @@
   // Queues a worker list, to be applied and passed to the policy after the inputs queued before it.
   void update_list(const core::WorkerList& list);
   // Records that discovery has confirmed the current list as up to date.
-  void confirm_list() { fleet_.confirm_current(); }
+  void confirm_worker_list() { fleet_.confirm_current(); }
   // Queues an input that tells the policy that discovery could not be reached.
-  void list_failed();
+  void discovery_unreachable();
   const Fleet& fleet() const { return fleet_; }
   // The number of requests that the policy has not forgotten yet.
-  std::size_t live_requests() const { return live_count_; }
+  std::size_t active_requests() const { return live_count_; }
   // Whether a release of KV cache is pending, which no other process would complete if this one exited now.
   bool has_pending_releases() const { return releaser_.has_pending_release() || releaser_.has_open_calls(); }
   // Shortens the pauses between repeated releases, as the process is about to exit.
@@ -118,7 +118,7 @@
   struct Input {
     enum class Kind {
       list,
-      list_failed,
+      discovery_unreachable,
       arrived,
       client_left,
       stream_started,
--- a/router/instance.h
+++ b/router/instance.h
@@ -15,7 +15,7 @@
   // Stops accepting connections.
   void stop() { server_.stop_accepting(); }
   // Whether no request is active and no client connection is open.
-  bool is_idle() const { return host_.live_requests() == 0 && server_.open_connections() == 0; }
+  bool is_idle() const { return host_.active_requests() == 0 && server_.open_connections() == 0; }
   // Closes every client connection abruptly, as if the process had been killed.
   void kill() { server_.kill(); }
 
--- a/router/kv_releaser.cpp
+++ b/router/kv_releaser.cpp
@@ -72,7 +72,7 @@
   if (hold.needs_release()) register_lease(lease);
   invariants_.check(core::Invariant::kv_has_owner,
                     !hold.needs_release() || lease->index != KvLease::kNotRegistered, lease->id);
-  if (!hold.release_precedes_prefill()) lease->prefill_unblocked.notify();
+  if (!hold.must_release_before_prefill()) lease->prefill_unblocked.notify();
   if (lease->release_running) return lease->changed.notify();
   if ((hold.request_over() && hold.needs_release()) || hold.release_due() <= loop_.now())
     return start_release(lease);
@@ -82,7 +82,7 @@
 
 io::Task<> KvReleaser::await_release_before_prefill(std::shared_ptr<KvLease> lease) {
   const io::Nanos give_up_at = loop_.now() + delay_before_next_call(hold_limit_, 0);
-  while (lease->hold.release_precedes_prefill() && loop_.now() < give_up_at)
+  while (lease->hold.must_release_before_prefill() && loop_.now() < give_up_at)
     co_await io::wait_until(loop_, lease->prefill_unblocked, give_up_at);
 }
 
@@ -197,7 +197,8 @@
     if (entry == nullptr)
       lease.hold.worker_gone(worker.identity, loop_.now());
     else
-      lease.hold.worker_answered({worker.identity, entry->responded_call_written_at, entry->last_heard});
+      lease.hold.worker_responded(
+          {worker.identity, entry->responded_call_written_at, entry->last_response_at});
   }
 }
 
@@ -346,10 +347,11 @@
   std::vector<ReleaseCandidate> candidates;
   const auto add = [&](int worker) {
     const WorkerEntry& entry = fleet_.at(worker);
-    const bool heard_recently = entry.last_heard > 0 && loop_.now() - entry.last_heard <= hold_limit_;
+    const bool heard_recently =
+        entry.last_response_at > 0 && loop_.now() - entry.last_response_at <= hold_limit_;
     return &candidates.emplace_back(
         ReleaseCandidate{.worker = worker,
-                         .last_heard = entry.last_heard,
+                         .last_response_at = entry.last_response_at,
                          .has_connection = heard_recently && entry.pool->has_reusable(),
                          .draining = entry.not_ready_since > 0});
   };
--- a/router/openai.cpp
+++ b/router/openai.cpp
@@ -161,8 +161,8 @@
   return nlohmann::json{{"object", "list"}, {"data", list}}.dump();
 }
 
-std::variant<std::unique_ptr<Exchange>, Reply> OpenAi::open_exchange(http::Request& request,
-                                                                     RequestInfo& info) {
+std::variant<std::unique_ptr<Exchange>, Reply> OpenAi::begin_exchange(http::Request& request,
+                                                                      RequestInfo& info) {
   const http::Head& head = request.head;
   const std::string_view path = head.target.substr(0, head.target.find('?'));
   const bool chat = path == "/v1/chat/completions";
--- a/router/openai.h
+++ b/router/openai.h
@@ -11,8 +11,8 @@
  public:
   explicit OpenAi(const core::RouterConfig& config) : config_(config) {}
   Traits traits() const override { return {}; }
-  std::variant<std::unique_ptr<Exchange>, Reply> open_exchange(http::Request& request,
-                                                               RequestInfo& info) override;
+  std::variant<std::unique_ptr<Exchange>, Reply> begin_exchange(http::Request& request,
+                                                                RequestInfo& info) override;
   std::string_view stream_fields() const override;
   LoadReport parse_load_report(const http::Head& head) const override;
   LoadReport parse_load_report(std::string_view) const override { return {}; }
--- a/router/protocol.h
+++ b/router/protocol.h
@@ -45,7 +45,7 @@
 // head, the others of the rest of body and of texts of the exchange.
 struct RequestText {
   std::string head;
-  core::EngineBody body;
+  core::EngineRequestBody body;
 };
 
 // The meaning of a worker's response that is not a stream.
@@ -127,8 +127,8 @@
   virtual Traits traits() const = 0;
   // Parses a client's request. Returns an exchange and fills info if the request is accepted, or else returns
   // the response to it.
-  virtual std::variant<std::unique_ptr<Exchange>, Reply> open_exchange(http::Request& request,
-                                                                       RequestInfo& info) = 0;
+  virtual std::variant<std::unique_ptr<Exchange>, Reply> begin_exchange(http::Request& request,
+                                                                        RequestInfo& info) = 0;
   // Header lines of a streamed response.
   virtual std::string_view stream_fields() const = 0;
   // The load that a worker reports in the head of a response, or in a comment line of a stream.
--- a/router/trace_writer.cpp
+++ b/router/trace_writer.cpp
@@ -29,18 +29,18 @@
   const io::Nanos now = loop_.now();
   trace.for_each([&](const TraceEntry& entry) {
     const WorkerEntry* worker = entry.worker < 0 ? nullptr : fleet_.find(entry.worker);
-    log_.warn("request step",
-              {{"request", request},
-               {"ms_ago", (now - entry.at) / io::kMs},
-               {"step", kStepNames[static_cast<std::size_t>(entry.step)]},
-               {"detail", entry.detail},
-               {"kv", to_string(entry.kv)},
-               {"attempt", entry.attempt},
-               {"worker", worker == nullptr ? std::string_view{} : worker->listed.name},
-               {"worker_heard_ms_ago",
-                worker == nullptr || worker->last_heard == 0 ? -1 : (now - worker->last_heard) / io::kMs},
-               {"connection_stood_ms", entry.idle_time < 0 ? -1 : entry.idle_time / io::kMs},
-               {"bytes", entry.bytes}});
+    log_.warn("request step", {{"request", request},
+                               {"ms_ago", (now - entry.at) / io::kMs},
+                               {"step", kStepNames[static_cast<std::size_t>(entry.step)]},
+                               {"detail", entry.detail},
+                               {"kv", to_string(entry.kv)},
+                               {"attempt", entry.attempt},
+                               {"worker", worker == nullptr ? std::string_view{} : worker->listed.name},
+                               {"worker_heard_ms_ago", worker == nullptr || worker->last_response_at == 0
+                                                           ? -1
+                                                           : (now - worker->last_response_at) / io::kMs},
+                               {"connection_stood_ms", entry.idle_time < 0 ? -1 : entry.idle_time / io::kMs},
+                               {"bytes", entry.bytes}});
   });
 }
 
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -9,8 +9,8 @@
 
 using profile::decode_settings;
 using profile::DeploymentSettings;
-using profile::millis;
-using profile::nanos;
+using profile::ms_from_nanos;
+using profile::nanos_from_ms;
 
 namespace {
 
@@ -113,13 +113,13 @@
         throw WireError("list entry: machine kind " + std::to_string(kind) + " is not in the settings");
       policy_->worker_listed(
           workers_.index(static_cast<std::uint32_t>(entry.unsigned_at(4, 4))), entry.unsigned_at(4, 4),
-          worker_status_of(entry.unsigned_at(8, 1)), nanos(entry.f64_at(9)), static_cast<int>(kind),
+          worker_status_of(entry.unsigned_at(8, 1)), nanos_from_ms(entry.f64_at(9)), static_cast<int>(kind),
           static_cast<int>(entry.unsigned_at(18, 2)), static_cast<int>(entry.unsigned_at(20, 2)));
     }
     policy_->list_ends();
   }
 
-  void list_failed(Nanos now) { policy_->list_failed(now); }
+  void discovery_unreachable(Nanos now) { policy_->discovery_unreachable(now); }
 
   void request_arrived(Nanos now, const ByteView& event) {
     const auto type = event.unsigned_at(10, 2);
@@ -128,7 +128,7 @@
     policy_->request_arrived(now, requests_.index(event.unsigned_at(2, 8)), static_cast<int>(type),
                              static_cast<int>(event.unsigned_at(12, 2)), event.unsigned_at(14, 8),
                              event.unsigned_at(38, 8), event.f32_at(46), event.f32_at(50), event.f32_at(54),
-                             nanos(event.f64_at(22)));
+                             nanos_from_ms(event.f64_at(22)));
   }
 
   void client_left(Nanos now, const ByteView& event) {
@@ -140,7 +140,7 @@
     const int request = requests_.find(event.unsigned_at(2, 8));
     if (request >= 0)
       policy_->stream_started(now, request, static_cast<int>(event.unsigned_at(14, 1)),
-                              nanos(event.f64_at(15)));
+                              nanos_from_ms(event.f64_at(15)));
   }
 
   void attempt_ended(Nanos now, const ByteView& event) {
@@ -148,7 +148,7 @@
     const Outcome outcome = outcome_of(event.unsigned_at(15, 2), event.unsigned_at(26, 4));
     if (request >= 0)
       policy_->attempt_ended(now, request, static_cast<int>(event.unsigned_at(10, 1)), outcome,
-                             nanos(event.f64_at(17)), event.unsigned_at(25, 1) != 0,
+                             nanos_from_ms(event.f64_at(17)), event.unsigned_at(25, 1) != 0,
                              static_cast<double>(event.unsigned_at(26, 4)), read_report(event, 30));
   }
 
@@ -158,7 +158,7 @@
   void send(int request, int worker, AttemptLimits limits) override {
     begin_record(16)
         .put_unsigned(requests_.id(request), 8)
-        .put_f64(millis(limits.timeout))
+        .put_f64(ms_from_nanos(limits.timeout))
         .put_unsigned(workers_.id(worker), 4);
   }
   void release(int request) override { begin_record(9).put_unsigned(requests_.id(request), 8); }
@@ -168,11 +168,13 @@
         .put_unsigned(static_cast<std::uint64_t>(attempt), 1);
   }
   void reject(int request, Nanos retry_after) override {
-    begin_record(2).put_unsigned(requests_.id(request), 8).put_f64(millis(retry_after));
+    begin_record(2).put_unsigned(requests_.id(request), 8).put_f64(ms_from_nanos(retry_after));
   }
   void abort(int request) override { begin_record(3).put_unsigned(requests_.id(request), 8); }
   void subscribe() override { begin_record(10).put_unsigned(1, 1); }
-  void request_wakeup(Nanos after) override { begin_record(15).put_unsigned(0, 4).put_f64(millis(after)); }
+  void request_wakeup(Nanos after) override {
+    begin_record(15).put_unsigned(0, 4).put_f64(ms_from_nanos(after));
+  }
   void forget_request(int request) override { requests_.forget(request); }
   void forget_worker(int worker) override { workers_.forget(worker); }
 
@@ -217,7 +219,7 @@
 std::uint32_t BatchHandler::handle(const std::vector<unsigned char>& frame, Reply& reply) {
   const ByteView bytes(frame.data(), frame.size(), "batch");
   const std::uint64_t record_count = bytes.unsigned_at(0, 4);
-  const Nanos now = nanos(bytes.f64_at(4));
+  const Nanos now = nanos_from_ms(bytes.f64_at(4));
   const auto batch_number = static_cast<std::uint32_t>(bytes.unsigned_at(12, 4));
   const ByteView records = bytes.slice(kBatchHeaderSize, record_count * kEventSize, "records of the batch");
   const ByteView tail = bytes.slice(kBatchHeaderSize + records.size(),
@@ -258,7 +260,7 @@
         const auto scope = event.unsigned_at(2, 1);
         if (scope > 3) throw WireError("fleet: scope " + std::to_string(scope) + " is not known");
         if (scope == 3) {
-          instance().list_failed(now);
+          instance().discovery_unreachable(now);
           break;
         }
         const auto list = worker_lists_.find(static_cast<int>(event.unsigned_at(11, 1)));
--- a/src/deployment.h
+++ b/src/deployment.h
@@ -25,9 +25,9 @@
   std::vector<TrafficType> types;
   std::vector<double> tenant_rates;  // requests per second within a tenant's share, over all routers
   std::vector<WorkerKind> kinds;
-  int routers{};  // number of routers that share the workers
-  int zone{};     // this router's
-  Nanos tick{};   // granularity of the host's time
+  int routers{};             // number of routers that share the workers
+  int zone{};                // this router's
+  Nanos time_granularity{};  // of the host
   int max_attempts{};
   bool can_cancel{};
   bool allow_parallel_attempts{};
--- a/src/kv_hold.cpp
+++ b/src/kv_hold.cpp
@@ -252,7 +252,7 @@
 // Applies to prefills only: a release voids a prefill that is running, so that only its request may still
 // arrive. A decode attempt may wait at its worker while its own connection is silent, whatever other
 // connections carry.
-void KvHold::worker_answered(const WorkerResponse& response) {
+void KvHold::worker_responded(const WorkerResponse& response) {
   for (Attempt& attempt : attempts_) {
     if (!attempt.prefill) continue;
     if (attempt.worker.identity != response.identity) continue;
@@ -286,7 +286,8 @@
 
 Nanos KvHold::wanted_release_time() const {
   if (!release_wanted()) return kNever;
-  return release_precedes_prefill() ? release_.wanted_at : release_.wanted_at + further_attempt_wait(limit_);
+  return must_release_before_prefill() ? release_.wanted_at
+                                       : release_.wanted_at + further_attempt_wait(limit_);
 }
 
 }  // namespace cressrill
--- a/src/kv_hold.h
+++ b/src/kv_hold.h
@@ -124,7 +124,7 @@
   // what a prefill has left since.
   bool release_confirmed(Nanos written_at);
   // Record evidence about attempts that comes from outside their own connections.
-  void worker_answered(const WorkerResponse& response);
+  void worker_responded(const WorkerResponse& response);
   void worker_gone(std::uint64_t identity, Nanos now);
 
   HoldState state() const;
@@ -138,7 +138,7 @@
   Nanos release_due() const;
   // Whether a release has to precede a further prefill, as a later release would void that prefill's result
   // too.
-  bool release_precedes_prefill() const {
+  bool must_release_before_prefill() const {
     return release_.prefill_lost && !request_over_ && release_wanted() && needs_release();
   }
   // Whether a release was wanted, and no attempt has been written since.
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -95,7 +95,7 @@
 constexpr double kColdBudgetShare = 0.5;
 
 double seconds(Nanos duration) { return static_cast<double>(duration) / static_cast<double>(kSecond); }
-Nanos nanos(double duration_seconds) {
+Nanos nanos_from_seconds(double duration_seconds) {
   return static_cast<Nanos>(duration_seconds * static_cast<double>(kSecond));
 }
 double decay(Nanos elapsed, Nanos decay_time = kLearningDecayTime) {
@@ -168,7 +168,9 @@
     run();
   }
 
-  void list_failed(Nanos now) override { now_ = now; }  // run() renews the subscription when that is due
+  void discovery_unreachable(Nanos now) override {
+    now_ = now;
+  }  // run() renews the subscription when that is due
 
   void request_arrived(Nanos now, int request_index, int type, int tenant, std::uint64_t session,
                        std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
@@ -191,7 +193,8 @@
     request.arrived_at = now;
     request.deadline = deadline;
     request.slo_deadline =
-        now + traffic_type.slo + nanos(prompt_tokens / 1000 * seconds(traffic_type.slo_per_1000_tokens));
+        now + traffic_type.slo +
+        nanos_from_seconds(prompt_tokens / 1000 * seconds(traffic_type.slo_per_1000_tokens));
     request.kv_held_since = kNever;
     request.uncached_tokens = uncached_tokens(request);
     request.arrival_order = state_.arrivals++;
@@ -402,10 +405,10 @@
   }
   // Whether a time-based transition may apply to a queued request with these times.
   bool queue_transition_may_apply(Nanos queue_timeout, Nanos deadline) const {
-    const Nanos expected_wait =
-        nanos(state_.mean_first_token_seconds + (prefill_worker_count() > 0) * state_.mean_prefill_seconds);
+    const Nanos expected_wait = nanos_from_seconds(
+        state_.mean_first_token_seconds + (prefill_worker_count() > 0) * state_.mean_prefill_seconds);
     return now_ >= queue_timeout || now_ + expected_wait > deadline ||
-           now_ >= deadline - 2 * settings_.tick - kWakeupInterval;
+           now_ >= deadline - 2 * settings_.time_granularity - kWakeupInterval;
   }
   bool queue_is_quiet() const {
     return state_.queue.empty() ||
@@ -482,7 +485,7 @@
     return worker.failure_score >= kEjectionScore && worker.ejected_until <= now_;
   }
   void eject(Worker& worker) {
-    worker.ejected_until = now_ + kEjectionTime + nanos(seconds(kEjectionJitter) * random());
+    worker.ejected_until = now_ + kEjectionTime + nanos_from_seconds(seconds(kEjectionJitter) * random());
     worker.half_open = true;
     worker.failure_score = 0;
   }
@@ -604,7 +607,8 @@
 
   // Rule 1: a final response that is sent later may not arrive before the deadline.
   bool deadline_is_near(const RequestState& request) const {
-    return awaits_stream(request) && now_ >= request.deadline - 2 * settings_.tick - kWakeupInterval;
+    return awaits_stream(request) &&
+           now_ >= request.deadline - 2 * settings_.time_granularity - kWakeupInterval;
   }
   // Rule 5: a request whose KV cache no decode worker takes is given up after half of the limit; the other
   // half is margin.
@@ -618,8 +622,8 @@
     const int attempts_needed = request.stage == Stage::queued && prefill_worker_count() > 0 ? 2 : 1;
     return static_cast<int>(request.attempts.size()) + attempts_needed > settings_.max_attempts ||
            (request.maybe_ran && repeat_forbidden(request)) ||
-           now_ + nanos(state_.mean_first_token_seconds +
-                        (attempts_needed - 1) * state_.mean_prefill_seconds) >
+           now_ + nanos_from_seconds(state_.mean_first_token_seconds +
+                                     (attempts_needed - 1) * state_.mean_prefill_seconds) >
                request.deadline;
   }
   bool queued_too_long(const RequestState& request) const {
@@ -636,7 +640,8 @@
                             (traffic_type.effect == Effect::tokened && traffic_type.group == Group::all);
     const double retry_after_seconds =
         settings_.send_retry_after ? seconds(settings_.max_retry_after) * (0.5 + 0.5 * random()) : 0;
-    may_reject ? actions_.reject(request.id, nanos(retry_after_seconds)) : actions_.abort(request.id);
+    may_reject ? actions_.reject(request.id, nanos_from_seconds(retry_after_seconds))
+               : actions_.abort(request.id);
     finish(request);
   }
   void finish(RequestState& request) {
@@ -1030,7 +1035,7 @@
   bool may_send(const RequestState& request, bool is_prefill) const {
     if (static_cast<int>(request.attempts.size()) + (is_prefill ? 2 : 1) > settings_.max_attempts)
       return false;
-    if (now_ >= request.deadline - 2 * settings_.tick - kWakeupInterval) return false;  // rule 1
+    if (now_ >= request.deadline - 2 * settings_.time_granularity - kWakeupInterval) return false;  // rule 1
     return settings_.allow_parallel_attempts || std::ranges::none_of(request.attempts, &Attempt::outstanding);
   }
   bool may_send(const RequestState& request, const Worker& worker, bool is_prefill) const {
@@ -1068,7 +1073,8 @@
   }
   // Until when a repeat of a tokened request is sure to be recognised as one.
   Nanos repeat_deadline(const RequestState& request) const {
-    return request.maybe_ran_since + type_of(request).window - 2 * settings_.tick - kSendDelayMargin;
+    return request.maybe_ran_since + type_of(request).window - 2 * settings_.time_granularity -
+           kSendDelayMargin;
   }
   // Whether the request must not run twice, or a repeat would no longer be recognised as one.
   bool repeat_forbidden(const RequestState& request) const {
@@ -1114,13 +1120,13 @@
       // The tokens that are expected to be cached may be gone. Divided by the overdue factor, they count
       // once in the overdue time; without them, a cache flush would make all prefill workers look dead.
       attempt.expected_duration =
-          nanos(prefill_overhead() + wait_seconds(worker, seconds_per_token(worker)) +
-                (attempt.load_tokens + attempt.expected_cached_tokens / kOverdueFactor) *
-                    seconds_per_token(worker));
+          nanos_from_seconds(prefill_overhead() + wait_seconds(worker, seconds_per_token(worker)) +
+                             (attempt.load_tokens + attempt.expected_cached_tokens / kOverdueFactor) *
+                                 seconds_per_token(worker));
       worker.prefill_tokens += attempt.load_tokens;
     } else {
       attempt.load_tokens = expected_decode_tokens(request);
-      attempt.expected_duration = nanos(state_.mean_first_token_seconds);
+      attempt.expected_duration = nanos_from_seconds(state_.mean_first_token_seconds);
       worker.decode_tokens += attempt.load_tokens;
       worker.decode_tokens_since_report += attempt.load_tokens;
       if (!is_repeat) {
@@ -1225,7 +1231,7 @@
     return attempt.expected_duration > settings_.kv_hold_limit / 2 ? overdue_after(attempt) : 0;
   }
   Nanos overdue_after(const Attempt& attempt) const {
-    return kOverdueGrace + nanos(kOverdueFactor * seconds(attempt.expected_duration));
+    return kOverdueGrace + nanos_from_seconds(kOverdueFactor * seconds(attempt.expected_duration));
   }
   bool awaits_stream(const RequestState& request) const {
     return request.stage != Stage::streaming && request.stage != Stage::finished;
--- a/src/policy.h
+++ b/src/policy.h
@@ -59,7 +59,7 @@
   virtual void worker_listed(int worker, std::uint64_t identity, WorkerStatus status, Nanos started_at,
                              int kind, int zone, int cell) = 0;
   virtual void list_ends() = 0;
-  virtual void list_failed(Nanos now) = 0;
+  virtual void discovery_unreachable(Nanos now) = 0;
   // type: index into PolicySettings::types. tenant: index into PolicySettings::tenant_rates, beyond which
   // shares are unlimited. session and prefix_hash are 0 if the request has none; prefix_tokens: length of
   // the shared prefix.
--- a/src/release_plan.cpp
+++ b/src/release_plan.cpp
@@ -21,7 +21,7 @@
     if (a.has_unresolved_attempt != b.has_unresolved_attempt) return a.has_unresolved_attempt;
     if (a.draining != b.draining) return b.draining;
     if (a.has_connection != b.has_connection) return a.has_connection;
-    return a.last_heard > b.last_heard;
+    return a.last_response_at > b.last_response_at;
   });
 }
 
--- a/src/release_plan.h
+++ b/src/release_plan.h
@@ -11,7 +11,7 @@
 
 struct ReleaseCandidate {
   int worker{};
-  Nanos last_heard{};             // when its latest response arrived
+  Nanos last_response_at{};       // when its latest response arrived
   int calls_made{};               // calls to it for this release
   bool has_unresolved_attempt{};  // a lost attempt may still run there; a response proves a lost prefill over
   bool has_connection{};          // it responded recently, and an open connection to it can be reused
--- a/tests/attempt_begin_test.cpp
+++ b/tests/attempt_begin_test.cpp
@@ -105,7 +105,7 @@
   wait_for_connect(worker.fixture);
   client.close();
   worker.fixture.run_for(5);
-  CHECK(worker.fixture.node->host().live_requests() == 0);
+  CHECK(worker.fixture.node->host().active_requests() == 0);
   CHECK(worker.received_after_attempt().empty());
 }
 
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -147,7 +147,7 @@
   CHECK(fixture.open_requests("writer-0") == 1);
   fixture.run_for(3000);
   CHECK(fixture.open_requests("writer-0") == 0);
-  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
   CHECK(fixture.node->connections() == 0);
   CHECK(fixture.node->settled());
   fixture.send("b", PlatformFixture::request("b1"));
@@ -166,7 +166,7 @@
   client.shutdown_write();
   fixture.run_for(50);
   CHECK(fixture.open_requests("writer-0") == 0);
-  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
 }
 
 TEST_CASE("a client that reads nothing does not delay the events of another") {
--- a/tests/client_leaves_test.cpp
+++ b/tests/client_leaves_test.cpp
@@ -18,7 +18,7 @@
   fixture.run_for(3000);
   check_longest_hold(monitor, limit_ms * kMs);
   CHECK(fixture.kv_entries.empty());
-  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
   CHECK(fixture.node->host().invariants().violations() == 0);
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -99,7 +99,7 @@
 TEST_CASE("the request bodies sent to engines") {
   const auto request = std::get<core::ParsedRequest>(core::parse_request(
       Api::completion, R"({"model":"m","prompt":"a","max_tokens":9,"stream":false,"temperature":1})", {}));
-  core::EngineBody body;
+  core::EngineRequestBody body;
   core::build_prefill_body(request, body);
   CHECK(
       body.text() ==
@@ -420,7 +420,7 @@
     lines.insert(lines.end(), added_lines.begin(), added_lines.end());
     const rig::Verdict verdict = rig::check_rules(lines, rule_settings);
     for (const rig::RuleResult& result : verdict.rules)
-      CHECK_MESSAGE((result.violations > 0) == (result.rule == rule), verdict.text());
+      CHECK_MESSAGE((result.violations > 0) == (result.rule == rule), verdict.report());
   }
 }
 
--- a/tests/spoilt_answer_test.cpp
+++ b/tests/corrupt_response_test.cpp
@@ -190,7 +190,7 @@
   fixture.run_for(scenario.limit_ms + 1500);
   check_longest_hold(monitor, scenario.limit_ms * kMs);
   CHECK(fixture.kv_entries.empty());
-  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
   CHECK(fixture.node->host().invariants().violations() == 0);
 }
 
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -91,7 +91,7 @@
       client->read();
       CHECK(is_complete_stream(client->text()));
     }
-    CHECK(fixture.node->host().live_requests() == 0);
+    CHECK(fixture.node->host().active_requests() == 0);
   }
 }
 
@@ -191,14 +191,14 @@
   RawClient client(fixture.node->address());
   client.write(PlatformFixture::request("a1"));
   fixture.run_for(50);
-  REQUIRE(fixture.node->host().live_requests() == 1);
+  REQUIRE(fixture.node->host().active_requests() == 1);
   client.close();
   {
     FailingCalls fault(FaultyCall::receive, EINTR, 1);
     fixture.run_for(50);
     CHECK(fault.injected() > 0);
   }
-  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
 }
 
 TEST_CASE(
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -21,7 +21,7 @@
     starts[static_cast<std::size_t>(worker)] = started_at;
   }
   void list_ends() override {}
-  void list_failed(Nanos) override {}
+  void discovery_unreachable(Nanos) override {}
   void request_arrived(Nanos, int, int, int, std::uint64_t, std::uint64_t, double, double, double,
                        Nanos) override {}
   void client_left(Nanos, int) override {}
--- a/tests/held_order_test.cpp
+++ b/tests/held_order_test.cpp
@@ -261,7 +261,7 @@
   // --- Workers ---
 
   void observe_responses(FakeWorker& worker) {
-    worker.silent_both_ways = true;
+    worker.silence_delays_responses = true;
     worker.before_response = [this, &worker] {
       leave_at_response(worker, Client::LeaveWhen::before_response);
     };
@@ -586,7 +586,7 @@
     const auto& attempts = fixture_.kv_entries.attempts;
     const bool attempt_active =
         std::ranges::any_of(attempts, [](const auto& entry) { return entry.second.active > 0; });
-    const bool request_active = fixture_.node && fixture_.node->host().live_requests() > 0;
+    const bool request_active = fixture_.node && fixture_.node->host().active_requests() > 0;
     return !attempt_active && !request_active && fixture_.kv_entries.empty();
   }
   void run_until_idle() {
@@ -641,7 +641,7 @@
     // A router that has not received a prefill's response assumes that it runs for up to the assumed run
     // time.
     const bool waits_for_late_prefill = settings_.effect != "fragile" &&
-                                        fixture_.kv_entries.attempts[id].end_not_heard &&
+                                        fixture_.kv_entries.attempts[id].end_unobserved &&
                                         unattended <= limit + kHoldLimitSlack + assumed_run_time;
     const char* kind = still_held                     ? "held for good"
                        : !waits_for_late_prefill      ? "held too long"
@@ -652,8 +652,8 @@
   }
   void check_node() {
     const router::Host& host = fixture_.node->host();
-    if (!terminates_ && host.live_requests() != 0)
-      add_violation("requests still active", std::to_string(host.live_requests()));
+    if (!terminates_ && host.active_requests() != 0)
+      add_violation("requests still active", std::to_string(host.active_requests()));
     for (std::size_t i = 0; i < core::kInvariantCount; ++i)
       if (host.invariants().violations(static_cast<core::Invariant>(i)) > 0)
         add_violation(fmt::format("invariant {}", core::kInvariantNames[i]), "");
--- a/tests/kv_hold_test.cpp
+++ b/tests/kv_hold_test.cpp
@@ -81,9 +81,9 @@
   SUBCASE(
       "its worker answers calls on other connections, which proves nothing: its own may be silent alone") {
     CHECK(hold.record_attempt(Event::decode_lost, 900 * kMs, 1));
-    hold.worker_answered({kDecodeWorker.identity, 890 * kMs, 911 * kMs});
-    hold.worker_answered({kDecodeWorker.identity, 1110 * kMs, 1111 * kMs});
-    hold.worker_answered({kPrefillWorker.identity, 1150 * kMs, 1151 * kMs});
+    hold.worker_responded({kDecodeWorker.identity, 890 * kMs, 911 * kMs});
+    hold.worker_responded({kDecodeWorker.identity, 1110 * kMs, 1111 * kMs});
+    hold.worker_responded({kPrefillWorker.identity, 1150 * kMs, 1151 * kMs});
     release(hold, 4000 * kMs);
     CHECK(hold.state() == HoldState::maybe_held);
     CHECK(hold.release_due() < 4000 * kMs + kMaxHeld);
@@ -114,10 +114,10 @@
   CHECK(hold.record_attempt(Event::prefill_lost, 60 * kMs, 0));
   CHECK(hold.state() == HoldState::maybe_held);
   CHECK(hold.record(Event::release_wanted, 60 * kMs));
-  CHECK(hold.release_precedes_prefill());
+  CHECK(hold.must_release_before_prefill());
   CHECK(hold.release_due() == 60 * kMs);
   CHECK(hold.record_attempt(Event::prefill_written, 85 * kMs, 1, kDecodeWorker));
-  CHECK_FALSE(hold.release_precedes_prefill());
+  CHECK_FALSE(hold.must_release_before_prefill());
   const Nanos due = hold.release_due();
   CHECK(due > 85 * kMs);
   CHECK(due < kMaxHeld);
@@ -216,13 +216,13 @@
   const Nanos next_due = hold.release_due();
   CHECK(next_due < 12 * kMs + kMaxHeld);
   SUBCASE("proved over: its worker answered a call made after its request had time to arrive") {
-    hold.worker_answered({kPrefillWorker.identity, 500 * kMs, 501 * kMs});
+    hold.worker_responded({kPrefillWorker.identity, 500 * kMs, 501 * kMs});
     release(hold, next_due);  // its request would have arrived by now
     CHECK(hold.state() == HoldState::released);
   }
   SUBCASE("not proved over by a call made while the request was in transit, nor by another worker's answer") {
-    hold.worker_answered({kPrefillWorker.identity, 20 * kMs, 21 * kMs});
-    hold.worker_answered({kDecodeWorker.identity, 500 * kMs, 501 * kMs});
+    hold.worker_responded({kPrefillWorker.identity, 20 * kMs, 21 * kMs});
+    hold.worker_responded({kDecodeWorker.identity, 500 * kMs, 501 * kMs});
     release(hold, next_due);
     CHECK(hold.state() == HoldState::maybe_held);
   }
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -136,7 +136,7 @@
   CHECK(fixture.response("a").outcome == "broken");
   CHECK(fixture.loop.now() - stalled_at <= 30 * io::kSecond);
   CHECK(fixture.loop.now() - stalled_at > 29 * io::kSecond);
-  CHECK(fixture.router->host().live_requests() == 0);
+  CHECK(fixture.router->host().active_requests() == 0);
   fixture.check_rules_hold();
 }
 
@@ -190,7 +190,7 @@
   fixture.run_for(900);
   CHECK(fixture.count_events("freed") == 1);
   fixture.check_rules_hold();
-  CHECK(fixture.router->host().live_requests() == 0);
+  CHECK(fixture.router->host().active_requests() == 0);
 }
 
 TEST_CASE(
@@ -411,7 +411,7 @@
       static constexpr const char* kModels[] = {"m", "m", "tokened", "once"};
       rig::ClientRequest client_request = fixture.request("s" + std::to_string(count), 15, kModels[count % 4],
                                                           count % 5 != 0, 100 + 50 * (count % 7));
-      if (count % 9 == 0) client_request.leave_after_first = 30 * io::kMs;
+      if (count % 9 == 0) client_request.disconnect_after_first_token = 30 * io::kMs;
       fixture.send(client_request);
       fixture.run_for(40);
     }
@@ -420,7 +420,7 @@
   fixture.run_for(10'000);
   fixture.check_rules_hold();
   for (const auto& engine : fixture.engines) CHECK(engine->kv_entries() == 0);
-  CHECK(fixture.router->host().live_requests() == 0);
+  CHECK(fixture.router->host().active_requests() == 0);
 }
 
 // A policy that breaks one rule: it passes events and actions on and suppresses one safeguard. The verdict
@@ -438,7 +438,7 @@
     policy_->worker_listed(worker, identity, status, started_at, kind, zone, cell);
   }
   void list_ends() override { policy_->list_ends(); }
-  void list_failed(Nanos now) override { policy_->list_failed(now); }
+  void discovery_unreachable(Nanos now) override { policy_->discovery_unreachable(now); }
   void request_arrived(Nanos now, int request, int type, int tenant, std::uint64_t session,
                        std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
                        double max_output_tokens, Nanos deadline) override {
@@ -489,7 +489,7 @@
 void check_only_broken(const EngineFixture& fixture, int broken_rule) {
   const rig::Verdict verdict = fixture.verdict();
   for (const rig::RuleResult& finding : verdict.rules)
-    CHECK_MESSAGE((finding.violations > 0) == (finding.rule == broken_rule), verdict.text());
+    CHECK_MESSAGE((finding.violations > 0) == (finding.rule == broken_rule), verdict.report());
 }
 
 TEST_CASE(
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -33,7 +33,7 @@
   std::string late_response{};     // more raw bytes, sent `late_delay` after `response`
   io::Nanos late_delay{50 * kMs};  // ignored while `late_response` is empty
   bool takes_kv{};                 // fetches the request's KV cache before the response
-  // With FakeWorker::silent_both_ways: a prefill that is still running when the close of its connection
+  // With FakeWorker::silence_delays_responses: a prefill that is still running when the close of its connection
   // arrives leaves its KV cache behind all the same.
   bool leaves_kv_on_disconnect{};
 };
@@ -52,7 +52,7 @@
   struct AttemptStatus {
     int active{};               // attempts that are active at running workers
     io::Nanos last_active{-1};  // when an attempt last arrived at or ended at a worker
-    bool end_not_heard{};       // a prefill ended, but its response was lost and its connection stayed open
+    bool end_unobserved{};      // a prefill ended, but its response was lost and its connection stayed open
   };
   std::map<std::string, AttemptStatus> attempts;
   std::function<void(const std::string&)> on_event;  // receives one line for each event at a worker
@@ -95,7 +95,7 @@
   io::Nanos release_response_delay{};
   // If true, a silent link also delays responses and connection closes, and an attempt ends when the close of
   // its connection reaches the worker. If false, a silent link delays requests only.
-  bool silent_both_ways{};
+  bool silence_delays_responses{};
   std::string responding_to;              // request id, valid while before_response and after_response run
   std::function<void()> before_response;  // called just before a response, or its first part, is written
   std::function<void()> after_response;   // called right after that write, before any socket is polled again
@@ -189,7 +189,7 @@
   io::Task<> watch_connection(io::Socket& socket, Attempt& attempt, const ScriptedResponse& scripted) {
     co_await socket.wait_for_peer_close();
     attempt.open_count.end();
-    if (!silent_both_ways) co_return;
+    if (!silence_delays_responses) co_return;
     co_await wait_for_link(attempt.connection);
     attempt.disconnected = true;
     if (scripted.leaves_kv_on_disconnect && !attempt.active_mark.ended)
@@ -215,7 +215,7 @@
         kv_entries_.report(fmt::format("{}: release of {} arrives", name, id));
         if (!kv_entries_.awaited_by_decode.contains(id)) kv_entries_.erase(id);
         if (release_response_delay > 0) co_await loop_.sleep_for(release_response_delay);
-        if (silent_both_ways) co_await wait_for_link(connection);
+        if (silence_delays_responses) co_await wait_for_link(connection);
         co_await socket.write_all("HTTP/1.1 204 No Content\r\n\r\n");
         continue;
       }
@@ -248,11 +248,11 @@
         const bool response_lost =
             scripted.finish == ScriptedResponse::Finish::hang || !scripted.late_response.empty();
         if (response_lost || is_link_silent(connection))
-          attempt.active_mark.update_status().end_not_heard = true;
+          attempt.active_mark.update_status().end_unobserved = true;
         attempt.active_mark.end();
       }
       if (scripted.takes_kv) take_kv(id);
-      if (silent_both_ways) {
+      if (silence_delays_responses) {
         if (scripted.finish != ScriptedResponse::Finish::hang) attempt.end();
         co_await wait_for_link(connection);
       }
@@ -265,7 +265,7 @@
       }
       if (!scripted.late_response.empty()) {
         co_await loop_.sleep_for(scripted.late_delay);
-        if (silent_both_ways) co_await wait_for_link(connection);
+        if (silence_delays_responses) co_await wait_for_link(connection);
         co_await socket.write_all(scripted.late_response);
       }
       if (scripted.finish == ScriptedResponse::Finish::hang ||
@@ -296,10 +296,10 @@
     co_await loop_.sleep_for(20 * kMs);
     if (attempt.disconnected) co_return;
     leave_kv(attempt.active_mark.id, attempt.releases_at_arrival);
-    if (silent_both_ways && is_link_silent(attempt.connection))
-      attempt.active_mark.update_status().end_not_heard = true;
+    if (silence_delays_responses && is_link_silent(attempt.connection))
+      attempt.active_mark.update_status().end_unobserved = true;
     attempt.active_mark.end();
-    if (silent_both_ways) co_await wait_for_link(attempt.connection);
+    if (silence_delays_responses) co_await wait_for_link(attempt.connection);
     begin_response(attempt.active_mark.id);
     co_await socket.write_all(
         "HTTP/1.1 202 Accepted\r\nX-Load-Report: concurrent=1,x0=0.2\r\n"
@@ -308,19 +308,19 @@
   }
   io::Task<> run_decode(io::Socket& socket, Attempt& attempt) {
     if (!take_kv(attempt.active_mark.id)) {
-      if (silent_both_ways) {
+      if (silence_delays_responses) {
         attempt.end();
         co_await wait_for_link(attempt.connection);
       }
       co_await socket.write_all("HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\ncontent-length: 0\r\n\r\n");
       co_return;
     }
-    if (silent_both_ways) co_await wait_for_link(attempt.connection);
+    if (silence_delays_responses) co_await wait_for_link(attempt.connection);
     begin_response(attempt.active_mark.id);
     co_await socket.write_all(stream_head());
     if (after_response) after_response();
     for (int i = 0; i < stream_events; ++i) {
-      if (silent_both_ways) co_await wait_for_link(attempt.connection);
+      if (silence_delays_responses) co_await wait_for_link(attempt.connection);
       co_await socket.write_all(chunked(event(i)));
       co_await loop_.sleep_for(20 * kMs);
     }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -99,8 +99,8 @@
   CHECK(fixture.worker("reader-0").request_bodies[0] == PlatformFixture::request_body());
   CHECK(fixture.worker("writer-0").request_bodies[0] == PlatformFixture::request_body());
   CHECK(fixture.kv_entries.empty());
-  CHECK(fixture.node->host().live_requests() == 0);
-  CHECK(fixture.node->codec().open_calls() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
+  CHECK(fixture.node->codec().active_requests() == 0);
 }
 
 // Guards rule 2: workers recognize a repeat of a request with an idempotency key by a field of the client.
@@ -191,7 +191,7 @@
     CHECK(response.body == whole_stream(3));
     fixture.run_for(3000);
     CHECK(fixture.kv_entries.empty());
-    CHECK(fixture.node->host().live_requests() == 0);
+    CHECK(fixture.node->host().active_requests() == 0);
     for (auto& w : fixture.workers) CHECK(w->open_requests == 0);
   }
 }
@@ -228,7 +228,7 @@
       CHECK(response.elapsed < 5000 * kMs);
       CHECK(fixture.count_requests("POST") == 2);
       fixture.run_for(100);
-      CHECK(fixture.node->host().live_requests() == 0);
+      CHECK(fixture.node->host().active_requests() == 0);
     }
 }
 
@@ -328,7 +328,7 @@
     fixture.run_for(1500);
     CHECK(fixture.count_requests("POST") == 1);
     CHECK(fixture.count_requests("DELETE a1") >= 1);
-    CHECK(fixture.node->host().live_requests() == 0);
+    CHECK(fixture.node->host().active_requests() == 0);
   }
   SUBCASE("during the stream, with part of a next request on the connection") {
     PlatformFixture fixture(1, 1);
@@ -337,7 +337,7 @@
     fixture.response("a");
     fixture.run_for(200);
     CHECK(fixture.open_requests("writer-0") == 0);
-    CHECK(fixture.node->host().live_requests() == 0);
+    CHECK(fixture.node->host().active_requests() == 0);
   }
 }
 
@@ -470,7 +470,7 @@
     CHECK(response.elapsed < 3000 * kMs);
   }
   CHECK(fixture.count_requests("") == 0);
-  CHECK(fixture.node->host().live_requests() == 0);
+  CHECK(fixture.node->host().active_requests() == 0);
   fixture.send("after", PlatformFixture::request("a1"));
   CHECK(fixture.response("after").complete);
 }
@@ -754,7 +754,7 @@
         socket.close(with_reset);
       }(fixture, reset));
       fixture.run_for(250);
-      CHECK(fixture.node->host().live_requests() == 0);
+      CHECK(fixture.node->host().active_requests() == 0);
       CHECK(fixture.open_requests("reader-0") == 0);
       CHECK(fixture.open_requests("writer-0") == 0);
       CHECK(fixture.node->connections() == 0);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -11,7 +11,7 @@
   fixture.send("a", PlatformFixture::request("a1"));
   fixture.run_until([&] { return !fixture.kv_entries.empty(); });
   fixture.worker("reader-0").crash();
-  fixture.run_until([&] { return fixture.node->host().live_requests() == 0; });
+  fixture.run_until([&] { return fixture.node->host().active_requests() == 0; });
   REQUIRE(!fixture.kv_entries.empty());
   CHECK(!fixture.node->settled());
   fixture.run_until([&] { return fixture.node->settled(); });
@@ -24,7 +24,7 @@
   fixture.send("a", PlatformFixture::request("a1"));
   fixture.run_until([&] { return !fixture.kv_entries.empty(); });
   for (auto& worker : fixture.workers) worker->crash();
-  fixture.run_until([&] { return fixture.node->host().live_requests() == 0; });
+  fixture.run_until([&] { return fixture.node->host().active_requests() == 0; });
   const io::Nanos ended_at = fixture.loop.now();
   fixture.run_until([&] { return fixture.node->settled(); });
   CHECK(fixture.loop.now() - ended_at <= fixture.node_config->config.settings.kv_hold_limit);
@@ -92,7 +92,7 @@
         worker->link_silent = worker->name != "writer-1";
         worker->silent_connections = worker->link_silent ? 0 : worker->accepted_connections;
       }
-      REQUIRE(fixture.run_until([&] { return fixture.node->host().live_requests() == 0; }));
+      REQUIRE(fixture.run_until([&] { return fixture.node->host().active_requests() == 0; }));
       CHECK(fixture.run_until([&] { return fixture.node->settled(); }));
       CHECK(fixture.kv_entries.empty());
     }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -40,7 +40,7 @@
     settings.types.push_back({Effect::repeatable, Group::all, 0, 1500 * kMs, 40 * kMs, 1});
     settings.kinds = {{Role::prefill, 0}, {Role::decode, 0}};
     settings.routers = routers;
-    settings.tick = 2 * kMs;
+    settings.time_granularity = 2 * kMs;
     settings.max_attempts = 6;
     settings.can_cancel = settings.allow_parallel_attempts = true;
     settings.kv_hold_limit = 1000 * kMs;
--- a/tests/soak_checker_test.cpp
+++ b/tests/soak_checker_test.cpp
@@ -49,7 +49,7 @@
 
 std::size_t count_breaches(Lines lines, int limit_ms = 500) {
   lines.push_back(end_of_soak());
-  return rig::soak::check(std::move(lines), {.held_for = limit_ms * io::kMs}).breaches.size();
+  return rig::soak::check(std::move(lines), {.kv_hold_limit = limit_ms * io::kMs}).breaches.size();
 }
 Lines operator+(Lines lines, const Lines& more) {
   lines.insert(lines.end(), more.begin(), more.end());
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -24,7 +24,7 @@
   settings.types.push_back({Effect::repeatable, Group::all, 0, 1500 * kMs, 40 * kMs, 1});
   settings.kinds = {{Role::prefill, 200'000}, {Role::decode, 100'000}};
   settings.routers = 1;
-  settings.tick = 2 * kMs;
+  settings.time_granularity = 2 * kMs;
   settings.max_attempts = 6;
   settings.can_cancel = true;
   settings.allow_parallel_attempts = true;
