--- a/core/classify.cpp
+++ b/core/classify.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Whether a condition of a rule is met; an empty one always is.
+// Whether the list of values that a rule accepts contains the value; an empty list accepts all.
 bool empty_or_contains(const std::vector<std::string>& list, std::string_view value) {
   return list.empty() || std::ranges::find(list, value) != list.end();
 }
--- a/core/parsed_request.cpp
+++ b/core/parsed_request.cpp
@@ -118,7 +118,8 @@
   return bytes;
 }
 
-// Returns a hash of the leading system and developer messages: the part of a prompt that many sessions share.
+// Adds the messages to the request's counts. Returns a hash of the leading system and developer messages: the
+// part of a prompt that many sessions share.
 std::uint64_t parse_messages(od::value value, ParsedRequest& request, ParserBuffers& buffers) {
   od::array list;
   if (value.get_array().get(list) != simdjson::SUCCESS)
@@ -192,7 +193,7 @@
   if (request.prompt_bytes == 0) fail("prompt", "'prompt' is empty.");
 }
 
-// A null value counts as a missing member.
+// Whether the value is null, which callers treat as a missing member.
 bool is_null(od::value value) {
   od::json_type type{};
   if (value.type().get(type) != simdjson::SUCCESS || type != od::json_type::null) return false;
--- a/http/client.cpp
+++ b/http/client.cpp
@@ -180,7 +180,7 @@
 }
 
 io::Task<std::unique_ptr<Connection>> Pool::dial(io::Nanos deadline, bool& at_capacity, Priority priority) {
-  struct CountGuard {  // undoes the counting if the dial fails or is cancelled
+  struct CountGuard {  // undoes opened() and use_started() if the dial fails or is cancelled
     Pool* pool;
     Priority priority;
     ~CountGuard() {
--- a/http/client.h
+++ b/http/client.h
@@ -85,8 +85,8 @@
   std::size_t max_idle = 64;
   std::size_t max_open = 1024;  // at this limit, a request waits for a connection to be returned
   std::shared_ptr<ConnectionBudget> budget{};  // shared with other pools; null: no shared limit
-  // A second response that a faulty peer sends to one request has to arrive within this time, or it would be
-  // taken for the response to the next request on the connection.
+  // A returned connection is not reused before it has been idle for this time. A second response from a
+  // faulty peer that arrives meanwhile is not taken for the response to the next request.
   io::Nanos min_idle_before_reuse{};
   std::size_t reserved_for_releases{};  // part of max_open that ordinary work never uses
 };
@@ -114,8 +114,8 @@
   void return_connection(std::unique_ptr<Connection> connection);
   // Closes a connection that was acquired.
   void discard(std::unique_ptr<Connection> connection);
-  // Records for reuse decisions whether a reused connection brought a response. No effect for a new
-  // connection.
+  // Records for reuse decisions whether a reused connection brought a response. No effect for a new or
+  // preempted connection, or without a shared budget.
   void record_use(const Connection& connection, bool has_response);
   // Closes all idle connections.
   void close_idle();
@@ -124,7 +124,7 @@
   std::size_t idle_count() const { return idle_.size(); }
   // Whether an idle connection can be reused now.
   bool has_reusable() const;
-  // Number of connections that were dialled so far.
+  // Number of connections that were dialled so far, including failed attempts.
   std::size_t dial_count() const { return dial_count_; }
 
  private:
--- a/http/server.cpp
+++ b/http/server.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr io::Nanos kTimeoutCheckInterval = 100 * io::kMs;
-// Time for a client to close its connection after the last response on it.
+// Time for a client to close its connection after the server has closed its sending side.
 constexpr io::Nanos kLingerTime = io::kSecond;
 
 // Status of the response to a request that could not be read.
@@ -144,12 +144,13 @@
 io::Task<> Server::enforce_timeouts() {
   for (;;) {
     co_await loop_.sleep_for(kTimeoutCheckInterval);
-    // A connection between two requests is ended gracefully, as a request may be in flight on it; one without
-    // a request, or one that lingers, is closed at once.
+    // Past its deadline, a connection with a partly received request is rejected; one between two requests is
+    // ended gracefully, as a request may be in flight on it. One that lingers is closed; so is one before its
+    // first request, unless it has unread data.
     end_idle_where([this](IdleConnection& idle) {
       const bool request_has_begun = !idle.before_first_request && idle.has_partial_request() &&
                                      !std::exchange(idle.partial_request_seen, true);
-      // Its first byte arrived within the last check interval.
+      // The request's first byte arrived within the last check interval.
       if (request_has_begun) idle.deadline = deadline_after(timeouts_.request - kTimeoutCheckInterval);
       if (idle.deadline > loop_.now()) return IdleAction::keep;
       if (idle.has_partial_request()) return IdleAction::reject_timed_out;
@@ -160,8 +161,8 @@
 }
 
 // At the connection limit, closes the connection that has been idle longest and has received no data of a
-// request. If every idle connection has received some, the oldest of them is rejected with
-// MessageError::no_capacity. Does nothing if there is no idle timeout.
+// request. If there is none, rejects with MessageError::no_capacity the one that has been idle longest of
+// those with a partly received request. Does nothing if there is no idle timeout.
 void Server::evict_one() {
   if (timeouts_.idle == 0) return;
   IdleConnection* partial = nullptr;
@@ -277,7 +278,7 @@
   return timeout > 0 ? loop_.now() + timeout : io::Loop::kNoTimer;
 }
 
-// Runs the handler. An exception that it throws ends only this request.
+// Runs the handler. An exception that it throws ends this request and its connection, but not the server.
 io::Task<Server::HandlerOutcome> Server::handle(Request& request, ResponseWriter& response) {
   std::exception_ptr thrown;
   try {
--- a/profile/profile.cpp
+++ b/profile/profile.cpp
@@ -23,7 +23,8 @@
   return out;
 }
 
-// Looks up settings by their path. Throws SettingsError if a value is invalid or a required one is missing.
+// Looks up settings by their key. Throws SettingsError if a number is invalid or a required setting is
+// missing.
 class SettingsReader {
  public:
   explicit SettingsReader(std::string_view text) {
--- a/rig/engine.cpp
+++ b/rig/engine.cpp
@@ -521,8 +521,8 @@
   }
 }
 
-// While memory is exceeded, the request that was admitted last goes back to the head of the queue; it keeps
-// the tokens it has generated.
+// While memory is exceeded and more than one request runs, the one that began to run last goes back to the
+// head of the queue. It keeps the tokens that it has generated.
 void Engine::preempt() {
   while (decode_tokens_ > config_.memory_tokens && running_.size() > 1) {
     const JobPtr job = running_.back();
--- a/rig/model/hold_model.cpp
+++ b/rig/model/hold_model.cpp
@@ -104,11 +104,11 @@
 
 void HoldModel::add_possible_link_events(int worker, std::vector<Event>& events) const {
   const Link& link_to_worker = links_[static_cast<std::size_t>(worker)];
-  const Nanos caught_up = link_to_worker.recovered_at +
-                          (link_to_worker.recovered_at - link_to_worker.silent_since) + kMaxTransitTime;
+  const Nanos caught_up_at = link_to_worker.recovered_at +
+                             (link_to_worker.recovered_at - link_to_worker.silent_since) + kMaxTransitTime;
   if (link_to_worker.silent)
     events.push_back({.type = EventType::link_passes, .worker = worker});
-  else if (link_to_worker.recovered_at == 0 || now_ >= caught_up)
+  else if (link_to_worker.recovered_at == 0 || now_ >= caught_up_at)
     events.push_back({.type = EventType::link_falls_silent, .worker = worker});
   const bool has_given_up_attempt = std::ranges::any_of(attempts_, [worker](const Attempt& attempt) {
     return attempt.worker == worker && attempt.given_up_at != kNever;
@@ -248,8 +248,8 @@
     record_attempt(attempt.is_prefill ? HoldEvent::prefill_lost : HoldEvent::decode_lost, attempt_index);
 }
 
-// A release arrives at the reachable worker. It also makes running prefills leave no KV cache. KV cache that
-// a decode attempt waits for is not freed.
+// A release arrives at the further worker that stays reachable (see hold_model.h). It also makes running
+// prefills leave no KV cache. KV cache that a decode attempt waits for is not freed.
 void HoldModel::release_arrives() {
   release_.arrived = true;
   release_.arrived_at = now_;
--- a/rig/scenario_runner.cpp
+++ b/rig/scenario_runner.cpp
@@ -27,8 +27,8 @@
         record_(loop_, folder + "/clients.jsonl"),
         scope_(loop_),
         load_(loop_, scenario_, record_, [this](std::size_t router) { return router_address(router); }) {
-    // Each engine has an address of its own. Ports are fixed, so a second scenario with the same second byte
-    // of the addresses cannot start.
+    // Each engine has an address of its own. Ports are fixed, so two scenarios with the same second byte of
+    // the addresses cannot run at the same time.
     for (std::size_t i = 0; i < scenario_.engines.size(); ++i)
       scenario_.engines[i].address =
           address(static_cast<std::uint32_t>(11 + i / 200), 1 + i % 200, 19100).to_string();
@@ -129,7 +129,8 @@
     done = true;
   }
 
-  // Sends SIGTERM to all programs; each has to exit with status 0 in time.
+  // Sends SIGTERM to the routers, then to the engines and discovery. A router has to exit with status 0 in
+  // time. Of the others only an exit status is checked, except of discovery if a fault has killed it.
   io::Task<> stop_all() {
     for (Process& process : routers_) process.terminate();
     const io::Nanos deadline = loop_.now() + 10 * io::kSecond;
--- a/rig/soak/checker.cpp
+++ b/rig/soak/checker.cpp
@@ -90,7 +90,7 @@
     const auto at = line.at("t").get<Nanos>();
     last_record_at_ = at;
     if (event == "stopped")
-      process_stops_[line.at("process")].push_back({at, at + line.at("for").get<Nanos>()});
+      suspensions_[line.at("process")].push_back({at, at + line.at("for").get<Nanos>()});
     if (event == "killed") kills_[line.at("process")].push_back(at);
     if (event == "draining") drain_starts_[line.at("worker")] = at;
     if (event == "discovery_silent") discovery_outages_.push_back({at, kNoEnd});
@@ -158,9 +158,9 @@
   void add_breach(std::string what) { result_.breaches.push_back(std::move(what)); }
 
   // Whether the process was suspended by SIGSTOP at about that time.
-  bool stopped_around(const std::string& process, Nanos at) const {
-    const auto spans = process_stops_.find(process);
-    if (spans == process_stops_.end()) return false;
+  bool suspended_around(const std::string& process, Nanos at) const {
+    const auto spans = suspensions_.find(process);
+    if (spans == suspensions_.end()) return false;
     return std::ranges::any_of(spans->second, [at](const TimeSpan& span) {
       return at >= span.from - 50 * kMs && at <= span.to + 300 * kMs;
     });
@@ -171,7 +171,7 @@
            std::ranges::any_of(kills->second, [=](Nanos kill) { return kill >= from && kill <= to; });
   }
   // Whether data that arrived at a worker at that time may have been delayed by a silent link. Records of
-  // links name the worker without its generation.
+  // links name the worker without "-<generation>", which changes each time it is replaced.
   bool link_was_silent(const std::string& worker, Nanos at) const {
     const auto outages = link_outages_.find(worker.substr(0, worker.rfind('-')));
     return outages != link_outages_.end() &&
@@ -207,7 +207,7 @@
     for (const auto& [index, event] : request.events_written) {
       const auto& [written, worker] = event;
       const auto read = request.events_read.find(index);
-      if (read == request.events_read.end() || stopped_around(request.router, written)) continue;
+      if (read == request.events_read.end() || suspended_around(request.router, written)) continue;
       if (may_be_held_back_by_link(worker, written)) continue;
       if (read->second - written > 300 * kMs + kNetworkDelay)
         add_breach(fmt::format("{}: event {} delayed for {} ms", id, index, (read->second - written) / kMs));
@@ -270,7 +270,7 @@
   }
 
   void check_attempt(const std::string& id, const Request& request, const Attempt& attempt) {
-    if (stopped_around(attempt.worker, attempt.recorded_at) ||
+    if (suspended_around(attempt.worker, attempt.recorded_at) ||
         link_was_silent(attempt.worker, attempt.recorded_at))
       return;
     if (request.left_at > 0 && attempt.arrived_at > request.left_at + 100 * kMs + kNetworkDelay)
@@ -313,7 +313,7 @@
     for (const HeldSpan& span : held_spans(attempts, request.kv_actions, last_record_at_)) {
       const Nanos max_unattended = limits_.kv_hold_limit + 300 * kMs + kNetworkDelay;
       const Nanos unattended = unattended_until_kill(request, attempts, span);
-      if (unattended <= max_unattended || any_worker_stopped(request)) continue;
+      if (unattended <= max_unattended || any_worker_suspended(request)) continue;
       add_breach(fmt::format("{}: its KV cache was held for {} ms", id, unattended / kMs));
     }
   }
@@ -324,7 +324,7 @@
     const Nanos kill = first_kill(request, span.from, span.until);
     if (kill == kNever) return span.unattended;
     std::vector<KvAction> actions_before_kill = request.kv_actions;
-    std::erase_if(actions_before_kill, [kill](const KvAction& mark) { return mark.at > kill; });
+    std::erase_if(actions_before_kill, [kill](const KvAction& action) { return action.at > kill; });
     for (const HeldSpan& span_until_kill : held_spans(attempts, actions_before_kill, kill))
       if (span_until_kill.from == span.from) return span_until_kill.unattended;
     return 0;
@@ -346,9 +346,9 @@
     for (const Attempt& attempt : request.attempts) consider(attempt.worker);
     return first_kill_at;
   }
-  bool any_worker_stopped(const Request& request) const {
+  bool any_worker_suspended(const Request& request) const {
     return std::ranges::any_of(request.attempts, [&](const Attempt& attempt) {
-      return stopped_around(attempt.worker, attempt.recorded_at);
+      return suspended_around(attempt.worker, attempt.recorded_at);
     });
   }
 
@@ -357,7 +357,7 @@
   CheckerLimits limits_;
   CheckResult result_;
   std::map<std::string, Request> requests_;
-  std::map<std::string, std::vector<TimeSpan>> process_stops_;
+  std::map<std::string, std::vector<TimeSpan>> suspensions_;
   std::map<std::string, std::vector<Nanos>> kills_;
   // From SIGTERM to SIGKILL; kNoEnd where no SIGKILL was sent.
   std::map<std::string, std::vector<TimeSpan>> terminations_;
--- a/rig/soak/conductor.cpp
+++ b/rig/soak/conductor.cpp
@@ -344,7 +344,7 @@
     }
   }
 
-  // Faults: each task starts one fault and ends it.
+  // Faults: each task starts one fault and ends it, except links that are silenced for good.
 
   io::Task<> start_random_fault() {
     switch (random_int(0, 15)) {
@@ -471,8 +471,8 @@
     router.process.send_signal(SIGCONT);
   }
 
-  // Moves a router to another discovery agent by SIGHUP. At times the file is only half written when it
-  // reloads.
+  // Moves a router to another discovery agent by SIGHUP. In half of the cases the file is incomplete when the
+  // signal arrives, and is completed later.
   io::Task<> reload_router() {
     Router& router = any_router();
     if (router.busy || !router.open) co_return;
@@ -497,7 +497,8 @@
     router.busy = false;
   }
 
-  // Process::kill() blocks until the process has ended. Clients would stand still for that time.
+  // Sends SIGKILL and waits for the end of the process without blocking the event loop of the clients, as
+  // Process::kill() would.
   io::Task<> kill_process(Process& process) {
     process.send_signal(SIGKILL);
     while (process.running()) co_await loop_.sleep_for(kMs);
--- a/router/fleet.cpp
+++ b/router/fleet.cpp
@@ -88,7 +88,7 @@
   return &entry;
 }
 
-// Whether an entry lists a worker as ready only because its list is older than the one that reported the
+// Whether `listed` gives a worker as ready only because its list is older than the one that reported the
 // worker as draining or gone. This happens when another discovery agent lags behind the previous one or a
 // list arrives late; accepting the entry would break rule 3 (no new requests to draining workers).
 bool Fleet::is_stale_ready(const core::WorkerList& list, const core::ListedWorker& listed,
@@ -142,7 +142,7 @@
   }
   for (auto& entry : entries_)
     if (entry && entry->listed.status == WorkerStatus::gone) entry->pool->close_idle();
-  if (list.source > 0) confirm_current();
+  if (list.source > 0) confirm_current();  // 0: a list kept across a restart, which is not confirmed
   policy.list_ends();
 }
 
--- a/router/host.cpp
+++ b/router/host.cpp
@@ -343,7 +343,7 @@
   const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
   if (attempt.write_deadline < attempt.deadline) {
     co_await loop_.sleep_until(attempt.write_deadline);
-    // The last byte has not been sent and must not be sent any more.
+    // If the last byte has not been written by now, it must not be written any more.
     const bool not_run = !attempt.write_started || traits_.partial_request_never_runs;
     if (!attempt.fully_written)
       co_return end_attempt(*request, attempt_index, not_run ? Outcome::not_sent : Outcome::connection_lost);
@@ -353,8 +353,8 @@
 }
 
 // A started stream has no deadline, but counts as broken once it has had no event for the stall timeout, as
-// its engine hangs. Runs from the first event on, as the attempt's own deadline may be far off. Time while
-// reading is paused for a slow client does not count, as it says nothing about the engine; a client that
+// its worker hangs. Runs from the first event on. Time while reading is paused for a slow client does not
+// count, as it says nothing about the worker; a client that
 // accepts no data at all is disconnected by the server (http::Server::set_write_stall_timeout()).
 io::Task<> Host::enforce_stall_timeout(std::shared_ptr<ActiveRequest> request, int attempt_index) {
   const ActiveAttempt& attempt = *request->attempts[static_cast<std::size_t>(attempt_index)];
@@ -471,7 +471,8 @@
   using core::Invariant;
   constexpr io::Nanos kClientLeftSlack = 100 * io::kMs;
   constexpr io::Nanos kBudgetSlack = 150 * io::kMs;
-  // The policy sets the write deadline 120 ms before the end of the worker's deduplication window.
+  // The policy sets the write deadline at least 120 ms before the end of the window in which workers
+  // recognise a repeat.
   constexpr io::Nanos kWindowSlack = 50 * io::kMs + 120 * io::kMs;
   const BeginConditions conditions = begin_conditions(request, attempt);
   const auto check = [&](Invariant invariant, io::Nanos overrun) {
--- a/router/host.h
+++ b/router/host.h
@@ -83,7 +83,7 @@
     io::Nanos assumed_run_time{};        // how long a prefill whose end is unknown is assumed to run
     io::Nanos first_event_at{};          // 0: no event with content yet
     io::Nanos connection_idle_time{-1};  // idle time of its connection before use; negative: a new connection
-    io::Nanos last_event_at{};           // when the last complete event of its stream was received
+    io::Nanos last_event_at{};           // when an event was last received, or reading resumed after a pause
     bool paused_for_client{};            // reading is paused until the client has taken the buffered events
     io::Scope scope;
   };
@@ -109,7 +109,7 @@
     bool client_left{};
     io::Nanos client_left_at{};
     Nanos retry_after{};
-    bool engine_refused{};      // an engine found the request invalid; the client gets that error response
+    bool engine_refused{};      // a worker found the request invalid; the client gets that error response
     int streaming_attempt{-1};  // the attempt whose stream is relayed to the client
     int last_kv_attempt{-1};    // the latest prefill that completed and left KV cache
     std::vector<std::unique_ptr<ActiveAttempt>> attempts;
--- a/router/kv_lease.h
+++ b/router/kv_lease.h
@@ -1,7 +1,7 @@
-// The lease on one request's KV cache tracks what workers may hold of it, from just before the first byte of
-// its first prefill is written until it is proved that nothing is held any more. KvReleaser owns every lease
-// that may cover KV cache. A request has only a handle, through which it reports the events of its attempts;
-// destroying the handle ends the request.
+// The lease on one request's KV cache is created when the request arrives. From just before the first byte of
+// the first prefill is written, it tracks what workers may hold, until it is proved that nothing is held any
+// more. KvReleaser owns every lease that may cover KV cache. A request has only a handle, through which it
+// reports the events of its attempts; destroying the handle reports that no further event will follow.
 #pragma once
 
 #include <cstddef>
--- a/router/kv_releaser.cpp
+++ b/router/kv_releaser.cpp
@@ -157,8 +157,8 @@
   lease->release_running = true;
 }
 
-// If every call has failed at once, no worker is reachable, and the release is pending no longer than the
-// hold limit. A request that ends late still gets enough time for one call.
+// If no call is open any more, every call has failed immediately, so no worker is reachable, and the release
+// is pending no longer than the hold limit. A request that ends late still gets enough time for one call.
 bool KvReleaser::has_pending_release() const {
   return std::ranges::any_of(leases_, [&](const auto& lease) {
     if (!lease->hold.needs_release()) return false;
@@ -236,13 +236,13 @@
       co_await io::wait_until(loop_, lease->changed, due);
       continue;
     }
-    const bool ordered_by_policy = hold.release_wanted();
+    const bool wanted_by_policy = hold.release_wanted();
     lease->release_started_at = loop_.now();
     record(lease, HoldEvent::release_asked);
     counters_.count_release_requested();
     const std::optional<io::Nanos> written_at = co_await call_until_confirmed(*lease);
     if (written_at) {
-      handle_confirmation(lease, *written_at, ordered_by_policy);
+      handle_confirmation(lease, *written_at, wanted_by_policy);
     } else if (hold.state() == HoldState::releasing) {
       counters_.count_release_abandoned();
       trace_writer_.write(lease->id, lease->trace, "no worker has confirmed a release");
@@ -252,14 +252,14 @@
 }
 
 void KvReleaser::handle_confirmation(const std::shared_ptr<KvLease>& lease, io::Nanos written_at,
-                                     bool ordered_by_policy) {
+                                     bool wanted_by_policy) {
   const HoldState before = lease->hold.state();
   collect_evidence(*lease);
   ++lease->releases_confirmed;
   const bool nothing_left = lease->hold.release_confirmed(written_at);
   process_event(lease, HoldEvent::release_confirmed, before, true);
   counters_.count_release_confirmed();
-  if (!lease->hold.request_over() && !ordered_by_policy && nothing_left) on_released_(*lease);
+  if (!lease->hold.request_over() && !wanted_by_policy && nothing_left) on_released_(*lease);
 }
 
 // Checks the hold limit. KV cache that may be held counts as held until a worker has confirmed its release.
@@ -342,7 +342,8 @@
   lease.changed.notify();
 }
 
-// The workers that are listed as running, and those that hold or may hold KV cache of the request.
+// The workers that are listed as ready or draining, those that a prefill was written to and, once proof is
+// needed, those of unresolved attempts.
 std::vector<ReleaseCandidate> KvReleaser::release_candidates(const KvLease& lease) const {
   std::vector<ReleaseCandidate> candidates;
   const auto add = [&](int worker) {
--- a/router/kv_releaser.h
+++ b/router/kv_releaser.h
@@ -75,7 +75,7 @@
   io::Nanos delay_after(int calls) const;
   io::Nanos next_release_at(const KvLease& lease) const;
   void handle_confirmation(const std::shared_ptr<KvLease>& lease, io::Nanos written_at,
-                           bool ordered_by_policy);
+                           bool wanted_by_policy);
   // Returns the time at which the confirmed release was written, or nothing if no worker confirmed one.
   io::Task<std::optional<io::Nanos>> call_until_confirmed(KvLease& lease);
   // The calls made for one release; those that got no connection are not counted.
--- a/simhost/host.cpp
+++ b/simhost/host.cpp
@@ -178,8 +178,8 @@
   void forget_request(int request) override { requests_.forget(request); }
   void forget_worker(int worker) override { workers_.forget(worker); }
 
-  // Adds a context record, which names this instance, before its next record, as other instances may add
-  // records in between.
+  // Adds a context record, which names this instance, before the next record of its reply, as other instances
+  // may add records in between.
   void require_context() { has_context_ = false; }
 
  private:
@@ -189,7 +189,7 @@
     return reply_.begin_record(code);
   }
 
-  // offset: of the number of columns, which the columns follow.
+  // offset: where the event holds the number of columns; the columns follow it.
   LoadReport read_report(const ByteView& event, std::size_t offset) const {
     const auto count = static_cast<int>(event.unsigned_at(offset, 1));
     LoadReport report;
@@ -257,15 +257,16 @@
         break;
       }
       case 7: {  // the instance receives a worker list, or fails to
-        const auto scope = event.unsigned_at(2, 1);
-        if (scope > 3) throw WireError("fleet: scope " + std::to_string(scope) + " is not known");
-        if (scope == 3) {
+        // 0: changes only; 3: the list cannot be fetched; otherwise a full list.
+        const auto list_scope = event.unsigned_at(2, 1);
+        if (list_scope > 3) throw WireError("fleet: scope " + std::to_string(list_scope) + " is not known");
+        if (list_scope == 3) {
           instance().discovery_unreachable(now);
           break;
         }
         const auto list = worker_lists_.find(static_cast<int>(event.unsigned_at(11, 1)));
         if (list == worker_lists_.end()) throw WireError("fleet: its list has not been sent");
-        instance().worker_list(now, scope != 0,
+        instance().worker_list(now, list_scope != 0,
                                ByteView(list->second.data(), list->second.size(), "manifest"));
         break;
       }
--- a/src/kv_hold.cpp
+++ b/src/kv_hold.cpp
@@ -15,9 +15,9 @@
 // enough to call a second and a third worker if the first ones do not respond.
 constexpr Nanos release_lead(Nanos limit) { return limit / 4; }
 
-// If it is not known whether anything is held, a release may void a running prefill, so it begins as late
-// as rule 5 (in policy.cpp) allows: 300 ms past the limit, less 150 ms for a delay of the process and 100
-// ms for a few calls.
+// If it is not known whether anything is held, a release may void a running prefill, so it begins as late as
+// the check of rule 5 tolerates (kHoldLimitSlack in router/kv_releaser.cpp): 300 ms past the limit, less 150
+// ms for a delay of the process and 100 ms for a few calls.
 constexpr Nanos kUnconfirmedReleaseDelay = (300 - 150 - 100) * kMs;
 
 constexpr Nanos kImmediately = 0;
@@ -98,8 +98,8 @@
          std::ranges::any_of(attempts_, [](const Attempt& a) { return a.prefill && !a.released_since_lost; });
 }
 
-// The limit counts from the time when the first prefill is no longer assumed to be running. Later writes do
-// not restart it.
+// The limit counts from the earliest time at which a prefill is no longer assumed to be running. A later
+// write restarts it only if nothing may have been left by then.
 void KvHold::attempt_written(const Attempt& attempt, Nanos assumed_run_time) {
   if (attempt.prefill) {
     if (!may_have_left_kv()) evidence_ = {};
@@ -226,9 +226,9 @@
   return !responded_since && !decode_waits && !taken_;
 }
 
-// Records that nothing remains of what was held at that time, when a confirmed release, or a decode attempt
-// that found nothing, was written. Attempts that were over by then hold nothing; others may have waited for
-// the KV cache then, or may still arrive.
+// written_at: when a confirmed release, or a decode attempt that found no KV cache, was written. What was
+// held then is gone. Attempts that were over by then hold nothing; others may have waited for the KV cache
+// then, or may still arrive.
 void KvHold::kv_freed(Nanos written_at) {
   std::erase_if(attempts_, [written_at](const Attempt& a) {
     return a.lost && std::min(a.over_at, a.lost_at + kLostAttemptLifetime) <= written_at;
@@ -249,9 +249,9 @@
 
 // Evidence from other calls to the same worker.
 
-// Applies to prefills only: a release voids a prefill that is running, so that only its request may still
-// arrive. A decode attempt may wait at its worker while its own connection is silent, whatever other
-// connections carry.
+// Applies to prefills only: a confirmed release has voided a prefill that was running, so the one remaining
+// risk is that its request arrives later. A decode attempt may wait at its worker while its own connection is
+// silent, whatever other connections carry.
 void KvHold::worker_responded(const WorkerResponse& response) {
   for (Attempt& attempt : attempts_) {
     if (!attempt.prefill) continue;
--- a/src/kv_hold.h
+++ b/src/kv_hold.h
@@ -160,10 +160,11 @@
     bool prefill{};
     Nanos written_at{};
     bool lost{};            // no longer waited for
-    Nanos lost_at{};        // when its connection ended
+    Nanos lost_at{};        // when that was recorded
     Nanos over_at{kNever};  // from when on it is known to be over at its worker
-    bool
-        released_since_lost{};  // a release written later was confirmed: what it leaves, it leaves after that
+    // A release that was written after lost_at was confirmed, so the attempt can only have left KV cache
+    // after that write.
+    bool released_since_lost{};
     bool operator==(const Attempt&) const = default;
   };
   // What is known about the KV cache itself.
@@ -174,7 +175,7 @@
     Nanos last_response_at{kNoResponse};  // when the latest response of an attempt that is over arrived
     bool operator==(const Evidence&) const = default;
   };
-  // The current release, or the next one.
+  // What determines whether and when a release is due.
   struct Release {
     bool requested{};
     bool immediate{};         // due at once, as the request is over or decode has taken what it needs
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -3,10 +3,10 @@
 // passed to Actions before the call returns. policy.h declares both interfaces, state.h the state,
 // deployment.h the settings.
 //
-// Every input ends with run(), which applies the two lists of transitions (worker_transitions and
-// request_transitions) until none applies. A worker list counts as one input, which list_ends() completes.
-// The ordinary path follows docs/design.md. A comment says "Guards against" where code protects that path
-// from failures, and "Differs from the design" where it departs from that page.
+// Every input but discovery_unreachable() ends with run(), which applies the two lists of transitions
+// (worker_transitions and request_transitions) until none applies. A worker list counts as one input, which
+// list_ends() completes. The ordinary path follows docs/design.md. A comment says "Guards against" where code
+// protects that path from failures, and "Differs from the design" where it departs from that page.
 //
 // The five rules that a router must keep, which comments refer to by number ("rule 1"):
 //   rule 1  each accepted request gets exactly one final response, before its deadline
@@ -29,14 +29,16 @@
 constexpr Nanos kSecond = 1'000 * kMs;
 // How often transitions that depend on the time are evaluated.
 constexpr Nanos kWakeupInterval = 10 * kMs;
-// Lifetime of an entry in the table of prefix holders: about that of a session.
+// Lifetime of an entry in the table of prefix holders: about that of a session. Also the decay time of tenant
+// arrivals, and how long a worker that is gone is remembered.
 constexpr Nanos kPrefixHolderLifetime = 60 * kSecond;
 // Decay time of learned values: long compared with a prefill or a generation.
 constexpr Nanos kLearningDecayTime = 10 * kSecond;
-// Time constant with which the estimate from a load report decays to the average of the reporting workers.
+// Time constant with which the number of other routers' requests, estimated from a load report, decays to the
+// average of the reporting workers. Reported memory decays with kLearningDecayTime.
 constexpr Nanos kLoadReportDecayTime = kSecond;
-// Speed and size of an assumed short prefill, which the fit of prefill times starts from. It keeps the weight
-// of a single measurement.
+// Speed and size of an assumed short prefill, which the fit of prefill times starts from. It and a point at
+// zero each keep the weight of one measurement.
 constexpr double kInitialTokensPerSecond = 10'000;
 constexpr double kInitialPrefillTokens = 1'000;
 // A prefill worker is assumed to be as fast as the fleet until its own prefills show otherwise. The
@@ -53,7 +55,7 @@
 constexpr double kOthersQueuedShare = 0.5;
 // Weight of a new sample in a smoothed wait.
 constexpr double kSmoothingWeight = 0.1;
-// Margin for a delayed send, beyond the 50 ms of slack that the five rules allow.
+// Margin for a delayed write of a repeat. The host's check of the written repeat tolerates another 50 ms.
 constexpr Nanos kSendDelayMargin = 120 * kMs;
 // An attempt is overdue after this multiple of its expected duration plus the grace, which covers a pause, a
 // lost packet or a handshake.
@@ -68,10 +70,10 @@
 constexpr Nanos kEjectionTime = 2 * kSecond;
 constexpr Nanos kEjectionJitter = kSecond;
 // Initial limit per router on requests in flight, from the start of their prefill to their first token. While
-// latency pressure is low, it grows by one for each limit's worth of started streams.
+// latency pressure is low and the limit is used, each started stream raises it by 1 / limit.
 constexpr double kInitialInFlightLimit = 8;
-// Lower bound of that limit for a router, and for each prefill worker over all routers together: less would
-// leave prefill workers idle.
+// Lower bound of that limit: this many requests per router, or this many per prefill worker divided among the
+// routers if that is more. Less would leave prefill workers idle.
 constexpr double kMinInFlightLimit = 1;
 // The limit is reduced by this factor, at most once per interval.
 constexpr double kLimitReductionFactor = 0.7;
@@ -168,9 +170,8 @@
     run();
   }
 
-  void discovery_unreachable(Nanos now) override {
-    now_ = now;
-  }  // run() renews the subscription when that is due
+  // Needs no decision: the next run() renews the subscription when that is due.
+  void discovery_unreachable(Nanos now) override { now_ = now; }
 
   void request_arrived(Nanos now, int request_index, int type, int tenant, std::uint64_t session,
                        std::uint64_t prefix_hash, double prompt_tokens, double prefix_tokens,
@@ -223,8 +224,8 @@
     clear_kv_held(request);
     smooth(state_.mean_first_token_seconds, seconds(elapsed));
     if (request.stage == Stage::finished) return run();
-    // Guards against queues that build up at workers which never report being full (because prompts are no
-    // longer cached, generations are long or workers are lost): a request that was sent should start to
+    // Guards against queues that build up (because prompts are no longer cached, generations are long or
+    // workers are lost) at workers that never report being full: a request that was sent should start to
     // stream within its part of the latency SLO. If it does not, further requests wait in this router's
     // queue.
     state_.latency_pressure +=
@@ -249,10 +250,10 @@
     if (!attempt.stream_started) --worker.pending_attempts;
     double& worker_tokens = attempt.is_prefill ? worker.prefill_tokens : worker.decode_tokens;
     worker_tokens = std::max(0.0, worker_tokens - attempt.load_tokens);
-    const bool silent = worker.last_response_at < attempt.sent_at;
+    const bool no_response_since_sent = worker.last_response_at < attempt.sent_at;
     attempt.full_or_timed_out = outcome == Outcome::full || outcome == Outcome::timed_out;
     if (report.received) record_report(worker, report);
-    record_outcome(worker, outcome, silent, attempt.abandoned);
+    record_outcome(worker, outcome, no_response_since_sent, attempt.abandoned);
     watch(attempt.worker);
     if (outcome == Outcome::prefill_done) record_prefill(request, attempt, worker, elapsed, cached_tokens);
     // A timed-out attempt would have taken at least this long. If that were not learned, timeouts would stay
@@ -264,7 +265,7 @@
     if (outcome == Outcome::error || outcome == Outcome::timed_out || outcome == Outcome::connection_lost ||
         outcome == Outcome::cancelled)
       (attempt.is_prefill ? attempt.may_have_left_kv : request.maybe_ran) = true;
-    if (outcome == Outcome::timed_out && !silent) reduce_in_flight_limit();
+    if (outcome == Outcome::timed_out && !no_response_since_sent) reduce_in_flight_limit();
     if (request_over) finish(request);
     if (request.stage != Stage::finished && !attempt.abandoned)
       retry_after_failure(request, attempt, outcome);
@@ -431,9 +432,9 @@
     unpark(*std::ranges::min_element(state_.queue, earlier));
   }
 
-  // Guards against memory that grows as workers register under ever new ids: a worker that has been gone for
-  // the lifetime of a prefix holder entry is forgotten. If it returns later under the same id, it counts as
-  // new.
+  // Guards against memory that grows as workers register under new identities all the time: a worker that has
+  // been gone for the lifetime of a prefix holder entry is forgotten. If it returns later under the same id,
+  // it counts as new.
   void forget_gone_worker(int worker_index) {
     Worker& worker = worker_at(worker_index);
     if (worker.gone_since == 0) worker.gone_since = now_;
@@ -449,8 +450,9 @@
   // Workers: failure detection and ejection.
 
   // Whether an attempt is overdue, and the worker has not responded to anything since it was sent. Guards
-  // against machines that vanish or hang, and against broken links. A lone worker that is busy with a single
-  // long step may be ejected by mistake; it returns after the ejection time.
+  // against machines that vanish or hang, and against broken links. A worker that is busy with a single long
+  // step may be ejected by mistake. It is used again after the ejection time, or earlier while fewer than
+  // half of the workers of its role are not ejected.
   bool is_silent(const Worker& worker) const {
     if (worker.pending_attempts == 0 || worker.ejected_until > now_ || now_ <= worker.next_overdue_at)
       return false;
@@ -598,7 +600,8 @@
     actions_.forget_request(request.id);
   }
 
-  // Rule 5: a prefill that was abandoned, or whose response was lost, may still have left KV cache.
+  // Rule 5: an abandoned attempt, or a prefill that ended without a result, may mean that KV cache is held
+  // that no response has reported.
   void release_unreported_kv(RequestState& request) {
     if (std::ranges::any_of(request.attempts,
                             [](auto& attempt) { return attempt.abandoned || attempt.may_have_left_kv; }))
@@ -615,8 +618,8 @@
   bool kv_limit_is_near(const RequestState& request) const {
     return request.stage == Stage::prefilled && now_ - request.kv_held_since >= settings_.kv_hold_limit / 2;
   }
-  // Whether no attempt is left, the request must not be repeated, or the time left is shorter than the usual
-  // duration of the stages to come.
+  // Whether too few attempts are left, the request must not be repeated, or the time left is shorter than the
+  // usual duration of the stages to come.
   bool cannot_succeed(const RequestState& request) const {
     if (request.stage != Stage::queued && request.stage != Stage::prefilled) return false;
     const int attempts_needed = request.stage == Stage::queued && prefill_worker_count() > 0 ? 2 : 1;
@@ -886,7 +889,8 @@
                     (state_.prefill_time_fit.sum_y - seconds_per_token() * state_.prefill_time_fit.sum_x) /
                         (state_.prefill_time_fit.weight + 1));
   }
-  // The same for one worker, by its ratio to the fit.
+  // Seconds per token of one worker: those of the fit, times the worker's ratio to the fit unless that is
+  // within the noise.
   double seconds_per_token(const Worker& worker) const {
     // Decay only moves this ratio towards 1, so the exponential is not needed while the ratio is within the
     // noise.
@@ -925,8 +929,8 @@
             kOthersQueuedShare * other_requests(worker) * state_.mean_prefill_tokens) *
            seconds_per_token;
   }
-  // Crossing zones costs a share of the utility, which counts like as many seconds of waiting, and the margin
-  // within which load scores tie, so that a worker in another zone needs more than a tie.
+  // The seconds of waiting that a worker in another zone must save to be chosen: the configured price of
+  // crossing zones, plus the margin within which load scores tie.
   double zone_penalty_seconds(const Worker& worker) const {
     return worker.zone == settings_.zone
                ? 0
@@ -1169,7 +1173,8 @@
     }
     return longest;
   }
-  // Also halves the counts of recent sends and successes.
+  // Four times per lifetime: removes keys whose entries have all expired, and halves the counts of recent
+  // sends and successes.
   void expire_prefix_holders() {
     if (now_ - state_.holders_expired_at < kPrefixHolderLifetime / 4) return;
     state_.holders_expired_at = now_;
@@ -1223,9 +1228,10 @@
     state_.in_flight += counts_as_in_flight(stage) - counts_as_in_flight(request.stage);
     request.stage = stage;
   }
-  // Rule 5: how long a prefill is assumed to run, so that it holds no KV cache yet. Under congestion, until
-  // it is overdue: an early release would void it, and its replacement would add to the congestion.
-  // Otherwise, and always for a once-only request, it is assumed that it may end at once.
+  // Rule 5: how long a prefill is assumed to run, so that it holds no KV cache yet. One that is expected to
+  // take more than half of the hold limit is assumed to run until it is overdue: an early release would void
+  // it, and its replacement would add load. Any other prefill, and each one of a once-only request, is
+  // assumed to end at once.
   Nanos assumed_run_time(const RequestState& request, const Attempt& attempt) const {
     if (type_of(request).effect == Effect::once_only) return 0;
     return attempt.expected_duration > settings_.kv_hold_limit / 2 ? overdue_after(attempt) : 0;
--- a/src/policy.h
+++ b/src/policy.h
@@ -24,7 +24,8 @@
   virtual ~Actions() = default;
   // Starts the request's next attempt. Attempts are numbered from 0 in this order.
   virtual void send(int request, int worker, AttemptLimits limits) = 0;
-  // Releases the KV cache that workers may hold of the request.
+  // Asks for the release of the KV cache that workers may hold of the request. The host decides when it is
+  // sent.
   virtual void release(int request) = 0;
   virtual void cancel(int request, int attempt) = 0;
   // Ends the request: tells the client that it was not served and may be repeated, after retry_after if
@@ -74,9 +75,9 @@
   virtual void attempt_ended(Nanos now, int request, int attempt, Outcome outcome, Nanos elapsed,
                              bool request_over, double cached_tokens, const LoadReport& report) = 0;
   virtual void on_wakeup(Nanos now) = 0;
-  // A worker has confirmed a release that the policy did not request. Of that request, workers hold nothing
-  // any more, except for a decode attempt that has arrived and waits for it, and an outstanding prefill will
-  // leave nothing.
+  // A worker has confirmed a release that the policy did not ask for. Workers then hold no KV cache of the
+  // request, except what a decode attempt that has already arrived waits for. A prefill that is still
+  // outstanding will leave none.
   virtual void kv_released(Nanos, int /*request*/) {}
 };
 
--- a/src/state.h
+++ b/src/state.h
@@ -16,23 +16,24 @@
 // Whether a request that may have run may be sent again: at any time; if workers recognise the repeat by its
 // token, which they do for a limited time; or never.
 enum class Effect { repeatable, tokened, once_only };
-// The workers that recognise a repeated request of a worker: all, those of its zone, or those of its cell.
+// Which workers recognise a repeat of a request that was first sent to another worker: all, those of the
+// first worker's zone, or those of its cell.
 enum class Group { all, zone, cell };
 enum class Role { prefill, decode, mixed };
 enum class WorkerStatus { gone, ready, draining };
 enum class Stage { queued, prefilling, prefilled, decoding, streaming, finished };
 // How an attempt ended.
 enum class Outcome {
-  generated,        // its final response is complete
+  generated,        // its final response is complete, possibly an error that the client caused
   prefill_done,     // its KV cache is held
   error,            // the worker responded with an error, or invalidly
   full,             // the worker reported being full
   kv_missing,       // the worker found no KV cache to decode from
-  timed_out,        // no result within AttemptLimits::timeout
-  connect_failed,   // no connection could be opened
-  connection_lost,  // the connection broke before the result
+  timed_out,        // no result within AttemptLimits::timeout or the deadline of the request
+  connect_failed,   // no connection could be opened, or the request could not be written and cannot have run
+  connection_lost,  // the connection broke or stalled before the result, after the attempt may have begun
   cancelled,        // by the router, also when the client has left
-  not_sent,         // it never reached the worker
+  not_sent,         // its request was not completely sent, and cannot have run
 };
 
 // The load that a worker reports with a response.
@@ -91,8 +92,8 @@
   Nanos slo_deadline{};
   Nanos dequeued_at{};  // when its latest prefill was started
   Nanos deadline{};
-  Nanos kv_held_since{};     // latest end or abandonment of an attempt; kNever: no KV cache is held
-  int prefill_worker{-1};    // worker of the latest prefill; holds the KV cache
+  Nanos kv_held_since{};   // latest end or abandonment of an attempt; kNever: no KV cache is held
+  int prefill_worker{-1};  // worker of the latest prefill; holds the KV cache unless kv_held_since is kNever
   int maybe_ran_worker{-1};  // decode worker of the first attempt that may have run
   Nanos maybe_ran_since{};   // when that attempt was sent
   bool maybe_ran{};          // a decode attempt has ended and may have run
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -33,8 +33,8 @@
   std::string late_response{};     // more raw bytes, sent `late_delay` after `response`
   io::Nanos late_delay{50 * kMs};  // ignored while `late_response` is empty
   bool takes_kv{};                 // fetches the request's KV cache before the response
-  // With FakeWorker::silence_delays_responses: a prefill that is still running when the close of its connection
-  // arrives leaves its KV cache behind all the same.
+  // With FakeWorker::silence_delays_responses: a prefill that is still running when the close of its
+  // connection arrives leaves its KV cache behind all the same.
   bool leaves_kv_on_disconnect{};
 };
 
--- a/tests/release_test.cpp
+++ b/tests/release_test.cpp
@@ -112,7 +112,7 @@
 }
 
 // Guards against opening a connection, at each failed attempt, for a release call that is never sent.
-TEST_CASE("a release that a further attempt made obsolete makes no connection") {
+TEST_CASE("no connection is opened for a release that a further attempt has made obsolete") {
   PlatformFixture fixture(1, 1);
   fixture.send("warm", PlatformFixture::request("w1"));
   fixture.response("warm");
