--- a/tests/engine_fixture.h
+++ b/tests/engine_fixture.h
@@ -206,7 +206,7 @@
   rig::Verdict verdict() const { return rig::check_rules(recorder.lines(), rule_settings); }
   void check_rules_hold() const {
     const rig::Verdict result = verdict();
-    CHECK_MESSAGE(result.passed(), result.text());
+    CHECK_MESSAGE(result.passed(), result.report());
   }
   // The number of events of that kind recorded so far, at that engine or, if it is empty, anywhere.
   int count_events(const std::string& event, const std::string& engine = "") const {
